--- a/daemon/front_follow.go
+++ b/daemon/front_follow.go
@@ -225,7 +225,7 @@
 func (d *Front) learnLimits(from string) {
 	var s runworks.LimitState
 	if d.askState(from, peers.SubjectLimits, &s) && d.quota.TakeState(time.Now(), &s) {
-		d.Logger.Info("limits told by another front", "name", from, "lives", len(s.Lives))
+		d.Logger.Info("limits told by another front", "name", from, "lives", len(s.Incarnations))
 		d.takeHeld()
 	}
 }
--- a/daemon/front_quarantine.go
+++ b/daemon/front_quarantine.go
@@ -16,11 +16,11 @@
 }
 
 func (d *Front) onHeld(s runworks.Suspect, wait time.Duration) {
-	servers := make([]string, 0, len(s.Ends))
-	for _, e := range s.Ends {
+	servers := make([]string, 0, len(s.Exits))
+	for _, e := range s.Exits {
 		servers = append(servers, e.Server)
 	}
-	d.Logger.Warn("request held in quarantine", "fingerprint", s.Fingerprint, "servers", servers, "first_end", s.Ends[0].At, "for_ms", wait.Milliseconds())
+	d.Logger.Warn("request held in quarantine", "fingerprint", s.Fingerprint, "servers", servers, "first_end", s.Exits[0].At, "for_ms", wait.Milliseconds())
 }
 
 func (d *Front) onLifted(f runworks.Fingerprint) {
@@ -35,7 +35,7 @@
 // blameFor puts the end of a backend server, which its record tells, on the calls that it
 // had broken off.
 func (d *Front) blameFor(server *runworks.Instance) {
-	for _, f := range d.quarantine.Gone(time.Now(), server.Life()) {
-		d.Logger.Warn("backend server gone that had broken a call off", "server", server.Life(), "service", server.Service, "fingerprint", f)
+	for _, f := range d.quarantine.Gone(time.Now(), server.IncarnationID()) {
+		d.Logger.Warn("backend server gone that had broken a call off", "server", server.IncarnationID(), "service", server.Service, "fingerprint", f)
 	}
 }
--- a/daemon/front_servers.go
+++ b/daemon/front_servers.go
@@ -57,8 +57,8 @@
 			out = append(out, one)
 			continue
 		}
-		unnamed[one.Life()] = true
-		if !d.unnamed[one.Life()] {
+		unnamed[one.IncarnationID()] = true
+		if !d.unnamed[one.IncarnationID()] {
 			d.noteBadRecord(platform.BadRecord{Key: one.ID, Err: errorx.Decorate(runworks.ErrUnknownService, "%.100s", one.Service)})
 		}
 	}
@@ -81,17 +81,17 @@
 		})
 	}
 	for _, one := range change.Added {
-		d.Logger.Info("backend server known", "server", one.ID, "born", one.Born, "service", one.Service, "address", one.Address, "hall", one.Hall, "leaving", one.Leaving)
+		d.Logger.Info("backend server known", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address, "hall", one.Hall, "leaving", one.Draining)
 	}
 	for _, one := range change.Left {
-		d.Logger.Info("backend server leaves", "server", one.ID, "born", one.Born, "service", one.Service, "address", one.Address)
+		d.Logger.Info("backend server leaves", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
 	for _, one := range change.Gone {
 		d.blameFor(&one)
 	}
 	for _, one := range change.Ended {
 		d.pool.Forget(one.Address)
-		d.Logger.Warn("backend server started again, its calls are lost", "server", one.ID, "born", one.Born, "service", one.Service, "address", one.Address)
+		d.Logger.Warn("backend server started again, its calls are lost", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
 }
 
@@ -117,19 +117,19 @@
 
 func (d *Front) onLimit(server runworks.Instance, c dispatch.LimitChange) {
 	if !c.Word.Named {
-		d.Logger.Info("backend server limits its requests no more", "server", server.Life(), "service", server.Service, "told_by", c.From)
+		d.Logger.Info("backend server limits its requests no more", "server", server.IncarnationID(), "service", server.Service, "told_by", c.From)
 		return
 	}
-	d.Logger.Warn("backend server limits its requests", "server", server.Life(), "service", server.Service, "per_second", c.Word.PerSecond, "told_by", c.From,
+	d.Logger.Warn("backend server limits its requests", "server", server.IncarnationID(), "service", server.Service, "per_second", c.Word.PerSecond, "told_by", c.From,
 		"part_per_second", c.Part.PerSecond, "part_at_once", c.Part.AtOnce, "entries", c.Entries)
 }
 
 func (d *Front) onLeaving(server runworks.Instance, from string) {
 	metrics.Count(d.metrics.ServerWords, metrics.Word("leaving"))
-	d.Logger.Info("backend server says that it leaves", "server", server.Life(), "service", server.Service, "address", server.Address, "told_by", from)
+	d.Logger.Info("backend server says that it leaves", "server", server.IncarnationID(), "service", server.Service, "address", server.Address, "told_by", from)
 }
 
 func (d *Front) onRest(server runworks.Instance, lasts time.Duration) {
 	metrics.Count(d.metrics.ServerWords, metrics.Word("rest"))
-	d.Logger.Warn("backend server asks for rest", "server", server.Life(), "service", server.Service, "for_ms", lasts.Milliseconds())
+	d.Logger.Warn("backend server asks for rest", "server", server.IncarnationID(), "service", server.Service, "for_ms", lasts.Milliseconds())
 }
--- a/host_list.go
+++ b/host_list.go
@@ -19,8 +19,8 @@
 	Hall string `json:"hall"`
 	// Address is host:port of the process between entries and agents.
 	Address string `json:"address"`
-	// Leaving is set once the host is to go away.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is set once the host is to go away.
+	Draining bool `json:"leaving,omitempty"`
 }
 
 // HostList is the platform's lagging list of live and leaving hosts.
--- a/inbound.go
+++ b/inbound.go
@@ -22,8 +22,8 @@
 	// Header is what is passed on to a backend server.
 	Header http.Header
 	Body   []byte
-	// Key tells who calls; empty if none was sent.
-	Key string
+	// APIKey tells who calls; empty if none was sent.
+	APIKey string
 	// Received is when the call had been read.
 	Received time.Time
 	// Timeout is how long the caller waits from Received on; 0 is not told.
@@ -33,11 +33,11 @@
 	MaxTokens    int
 	// ExpectedTokens is the caller's guess of the answer's length; 0 if none.
 	ExpectedTokens int
-	// Subject names the last part of the prompt; equal ones share memory of the
+	// PromptPrefix names the last part of the prompt; equal ones share memory of the
 	// prompt at an engine. Empty if not told.
-	Subject string
-	// Left says whether the caller has closed its connection; nil is not known.
-	Left func() bool
+	PromptPrefix string
+	// CallerDisconnected says whether the caller has closed its connection; nil is not known.
+	CallerDisconnected func() bool
 }
 
 // Fingerprint names what a call asks for and who asks: a call that comes again, at any
@@ -51,10 +51,10 @@
 // no part of it: a customer may have several.
 func (in *Inbound) Fingerprint(customer string) Fingerprint {
 	h := sha256.New()
-	for _, part := range []string{customer, in.Method, in.Host, in.Target} {
+	for _, field := range []string{customer, in.Method, in.Host, in.Target} {
 		// Lengths keep the end of a part from counting as the begin of the next.
-		_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
-		_, _ = h.Write([]byte(part))
+		_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
+		_, _ = h.Write([]byte(field))
 	}
 	_, _ = h.Write(in.Body)
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
@@ -62,9 +62,9 @@
 
 // Tokens is what the call costs of a customer's limit; plain is the cost of a
 // call that states no tokens.
-func (in *Inbound) Tokens(plain float64) float64 {
+func (in *Inbound) Tokens(defaultCost float64) float64 {
 	if in.PromptTokens+in.MaxTokens == 0 {
-		return plain
+		return defaultCost
 	}
 	return float64(in.PromptTokens + in.MaxTokens)
 }
@@ -75,13 +75,13 @@
 	To      Instance
 	// Customer is told to the backend server; empty if nobody is known.
 	Customer string
-	// Left is the time that the backend server may work on it.
-	Left time.Duration
-	// LastEvent is the last event of a stream that is to go on; empty at first.
-	LastEvent string
-	// Wanted is asked just before the first byte leaves; its error keeps the call from
+	// TimeLeft is the time that the backend server may work on it.
+	TimeLeft time.Duration
+	// LastEventID is the last event of a stream that is to go on; empty at first.
+	LastEventID string
+	// BeforeSend is asked just before the first byte leaves; its error keeps the call from
 	// being sent. Nil is always wanted.
-	Wanted func() error
+	BeforeSend func() error
 }
 
 // ServerReply is a backend server's answer; the caller closes Body.
@@ -89,12 +89,12 @@
 	Reply
 	// NotRun is the backend server's word that it did not run the call.
 	NotRun bool
-	// Gone says that another backend server has this address now.
-	Gone bool
-	// Word is what it says of itself; WordErr says what of it can't be read, which counts as
+	// AddressReused says that another backend server has this address now.
+	AddressReused bool
+	// Report is what it says of itself; WordErr says what of it can't be read, which counts as
 	// not told.
-	Word    ServerWord
-	WordErr error
+	Report    ServerReport
+	ReportErr error
 }
 
 // Sender sends calls to backend servers.
@@ -102,9 +102,9 @@
 	// Send sends one call, at most once. The error is that of Send.Wanted, or
 	// ErrNotDispatched, only if the call provably never left, else ErrBackend.
 	Send(ctx context.Context, s *Send) (*ServerReply, error)
-	// WatchEnd calls ended if a backend server's process is proved to be gone, before it
+	// WatchExit calls ended if a backend server's process is proved to be gone, before it
 	// returns or a moment later.
-	WatchEnd(ctx context.Context, server Instance, ended func())
+	WatchExit(ctx context.Context, server Instance, ended func())
 }
 
 // RunningCalls is how many calls an entry has at each backend server, by its id.
@@ -125,12 +125,12 @@
 type EntryLoad struct {
 	Running RunningCalls `json:"running,omitempty"`
 	Waiting WaitingCalls `json:"waiting,omitempty"`
-	// Failed is how many calls in a row were answered by a failure of a backend
+	// ConsecutiveFailures is how many calls in a row were answered by a failure of a backend
 	// server's own, by its id.
-	Failed map[string]int `json:"failed,omitempty"`
-	// Reading is how many tokens of its calls' prompts each backend server still reads,
+	ConsecutiveFailures map[string]int `json:"failed,omitempty"`
+	// UnreadPromptTokens is how many tokens of its calls' prompts each backend server still reads,
 	// by its id, as far as it matters to others.
-	Reading map[string]int `json:"reading,omitempty"`
-	// LeftOut are the ids of the backend servers that failed this entry of late.
-	LeftOut []string `json:"left_out,omitempty"`
+	UnreadPromptTokens map[string]int `json:"reading,omitempty"`
+	// Ejected are the ids of the backend servers that failed this entry of late.
+	Ejected []string `json:"left_out,omitempty"`
 }
--- a/inbound_test.go
+++ b/inbound_test.go
@@ -10,9 +10,9 @@
 // calls apart that differ in anything they ask for.
 func TestFingerprint(t *testing.T) {
 	is := is.New(t)
-	base := Inbound{ID: "1", Method: "POST", Host: "h", Target: "/a/b?c", Path: "/a/b", Body: []byte("body"), Key: "k"}
+	base := Inbound{ID: "1", Method: "POST", Host: "h", Target: "/a/b?c", Path: "/a/b", Body: []byte("body"), APIKey: "k"}
 	again := base
-	again.ID, again.Key, again.PromptTokens = "2", "l", 7
+	again.ID, again.APIKey, again.PromptTokens = "2", "l", 7
 	is.Equal(base.Fingerprint("yard"), again.Fingerprint("yard"))
 	seen := map[Fingerprint]bool{base.Fingerprint("yard"): true, base.Fingerprint(""): true}
 	for _, change := range []func(in *Inbound){
--- a/picker.go
+++ b/picker.go
@@ -10,14 +10,14 @@
 	Slots   int
 	Running int
 	Waiting int
-	// Own is the tickets and running requests that this entry has there now.
-	Own int
-	// SentSince is the tickets that this entry sent there since the last report.
-	SentSince int
+	// OwnLoad is the tickets and running requests that this entry has there now.
+	OwnLoad int
+	// SentSinceReport is the tickets that this entry sent there since the last report.
+	SentSinceReport int
 }
 
-// Free says whether the agent seems to have a free slot.
-func (c *Candidate) Free() bool { return max(c.Running+c.Waiting, c.Own) < c.Slots }
+// HasFreeSlot says whether the agent seems to have a free slot.
+func (c *Candidate) HasFreeSlot() bool { return max(c.Running+c.Waiting, c.OwnLoad) < c.Slots }
 
 // Picker chooses who gets the tickets of a request; it is called under a lock
 // and must not wait.
--- a/request.go
+++ b/request.go
@@ -27,8 +27,8 @@
 	Body []byte `json:"-"`
 }
 
-// Ticket stands for a waiting request at an agent; it has no side effects.
-type Ticket struct {
+// Reservation stands for a waiting request at an agent; it has no side effects.
+type Reservation struct {
 	ID RequestID `json:"id"`
 	// Service is the service asked for.
 	Service string `json:"service"`
@@ -42,12 +42,12 @@
 	PromptTokens int `json:"prompt_tokens,omitempty"`
 	// MaxTokens is the most tokens the answer may have.
 	MaxTokens int `json:"max_tokens,omitempty"`
-	// Left is the time left until the request's time limit.
-	Left time.Duration `json:"left"`
+	// TimeLeft is the time left until the request's time limit.
+	TimeLeft time.Duration `json:"left"`
 }
 
 // Cost is the ticket's estimated work in tokens, at least 1.
-func (t *Ticket) Cost() float64 {
+func (t *Reservation) Cost() float64 {
 	return float64(max(t.PromptTokens+t.MaxTokens, 1))
 }
 
@@ -71,8 +71,8 @@
 	Deadline time.Time
 	// Repeatable says whether a plain call may be tried again after it ran.
 	Repeatable bool
-	// Key is the caller's idempotency key, empty without one.
-	Key string
+	// IdempotencyKey is the caller's idempotency key, empty without one.
+	IdempotencyKey string
 	// PromptTokens and MaxTokens estimate the work in tokens.
 	PromptTokens int
 	MaxTokens    int
@@ -80,11 +80,11 @@
 	Trace map[string]string
 }
 
-// Ticket gives the ticket that stands for the request at the time now.
-func (r *Request) Ticket(now time.Time) Ticket {
-	return Ticket{
+// Reservation gives the ticket that stands for the request at the time now.
+func (r *Request) Reservation(now time.Time) Reservation {
+	return Reservation{
 		ID: r.ID, Service: r.Service, Tier: r.Rank, Customer: r.Customer, Weight: r.Weight,
-		PromptTokens: r.PromptTokens, MaxTokens: r.MaxTokens, Left: r.Deadline.Sub(now),
+		PromptTokens: r.PromptTokens, MaxTokens: r.MaxTokens, TimeLeft: r.Deadline.Sub(now),
 	}
 }
 
--- a/route.go
+++ b/route.go
@@ -98,8 +98,8 @@
 type Instance struct {
 	// ID names the server; a start may keep it.
 	ID string
-	// Born tells lives of one ID apart, the newest being the highest; 0 is not told.
-	Born int64
+	// Generation tells lives of one ID apart, the newest being the highest; 0 is not told.
+	Generation int64
 	// Service is the service it belongs to.
 	Service string
 	// Address is host:port.
@@ -108,21 +108,21 @@
 	Hall string
 	// Slots is how many calls it runs at once.
 	Slots int
-	// Leaving says that it will end, by its own word, and gets no new calls.
-	Leaving bool
+	// Draining says that it will end, by its own word, and gets no new calls.
+	Draining bool
 	// Unreadable says that its newest record can't be read: it gets no new calls as long as
 	// that stands.
 	Unreadable bool
 }
 
-// Withdrawn says whether the server gets no new calls, by its record.
-func (i *Instance) Withdrawn() bool { return i.Leaving || i.Unreadable }
+// Unavailable says whether the server gets no new calls, by its record.
+func (i *Instance) Unavailable() bool { return i.Draining || i.Unreadable }
 
-// Life names this life of the backend server among all entries: what one learned of a life
+// IncarnationID names this life of the backend server among all entries: what one learned of a life
 // must not count for the next.
-func (i *Instance) Life() string {
-	if i.Born == 0 {
+func (i *Instance) IncarnationID() string {
+	if i.Generation == 0 {
 		return i.ID
 	}
-	return i.ID + "/" + strconv.FormatInt(i.Born, 10)
+	return i.ID + "/" + strconv.FormatInt(i.Generation, 10)
 }
--- a/routers/callers/answer.go
+++ b/routers/callers/answer.go
@@ -128,7 +128,7 @@
 	{runworks.ErrStopping, http.StatusServiceUnavailable, "stopping"},
 	{runworks.ErrNotReady, http.StatusServiceUnavailable, "not_ready"},
 	{runworks.ErrNotDispatched, http.StatusServiceUnavailable, "out_of_reach"},
-	{runworks.ErrUnknownFate, http.StatusBadGateway, "unknown"},
+	{runworks.ErrOutcomeUnknown, http.StatusBadGateway, "unknown"},
 	{runworks.ErrBackend, http.StatusBadGateway, "backend_failed"},
 }
 
--- a/server_word.go
+++ b/server_report.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// ServerWord is what a backend server says of itself in an answer. It is the word of one life,
+// ServerReport is what a backend server says of itself in an answer. It is the word of one life,
 // and stands beside what that life's record says: a record comes late, or not at all while the
 // store is away.
-type ServerWord struct {
+type ServerReport struct {
 	// Limit is what it says of the requests that it takes; nil is not known.
 	Limit *RateLimit
-	// Leaving says that it will end, and is to get nothing more from any entry.
-	Leaving bool
-	// Rest is for how long it wants nothing from the entry that it answers; 0 asks for none.
-	Rest time.Duration
+	// Draining says that it will end, and is to get nothing more from any entry.
+	Draining bool
+	// Backoff is for how long it wants nothing from the entry that it answers; 0 asks for none.
+	Backoff time.Duration
 	// Load is what it has to do; nil is not told.
 	Load *ServerLoad
 }
@@ -40,25 +40,25 @@
 type ServerNotice struct {
 	// Server is Instance.Life.
 	Server string `json:"server"`
-	// Leaving says that it will end; that holds as long as it lives.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining says that it will end; that holds as long as it lives.
+	Draining bool `json:"leaving,omitempty"`
 	// Limit is its newest word of the requests that it takes, and LimitAgeMs how many
 	// milliseconds ago it gave that; nil tells nothing.
 	Limit      *RateLimit `json:"limit,omitempty"`
 	LimitAgeMs int64      `json:"limit_age_ms,omitempty"`
 }
 
-// Aged gives the notice as it reads a time after it was told.
-func (n ServerNotice) Aged(by time.Duration) ServerNotice {
+// AgedBy gives the notice as it reads a time after it was told.
+func (n ServerNotice) AgedBy(d time.Duration) ServerNotice {
 	if n.Limit != nil {
-		n.LimitAgeMs += by.Milliseconds()
+		n.LimitAgeMs += d.Milliseconds()
 	}
 	return n
 }
 
-// Over gives the notice with what an older one says beyond it.
-func (n ServerNotice) Over(older ServerNotice) ServerNotice {
-	n.Leaving = n.Leaving || older.Leaving
+// Merge gives the notice with what an older one says beyond it.
+func (n ServerNotice) Merge(older ServerNotice) ServerNotice {
+	n.Draining = n.Draining || older.Draining
 	if n.Limit == nil {
 		n.Limit, n.LimitAgeMs = older.Limit, older.LimitAgeMs
 	}
--- a/services/admission/admit.go
+++ b/services/admission/admit.go
@@ -9,7 +9,7 @@
 
 	"github.com/runworks/runworks"
 	"github.com/runworks/runworks/services/config"
-	"github.com/runworks/runworks/services/home"
+	"github.com/runworks/runworks/services/idempotency"
 )
 
 const retryNotReady = time.Second
@@ -141,7 +141,7 @@
 		ID: runworks.RequestID(uuid.NewString()), Call: ask.Call, Kind: service.Kind, Service: service.Name,
 		Customer: customer.Name, Weight: customer.Weight, Tier: tier.Name, Rank: tier.Rank,
 		Deadline: time.Now().Add(timeLimit(tier, rule, ask.Timeout)), Repeatable: !rule.NotRepeatable,
-		Key: key, PromptTokens: ask.PromptTokens, MaxTokens: ask.MaxTokens,
+		IdempotencyKey: key, PromptTokens: ask.PromptTokens, MaxTokens: ask.MaxTokens,
 	}, nil
 }
 
@@ -184,6 +184,6 @@
 }
 
 func minted(key string) bool {
-	_, ok := home.Minted(key)
+	_, ok := idempotency.Minted(key)
 	return ok
 }
--- a/services/agent/agent.go
+++ b/services/agent/agent.go
@@ -14,8 +14,8 @@
 	"github.com/runworks/runworks/modules/notify"
 	"github.com/runworks/runworks/services/config"
 	"github.com/runworks/runworks/services/control"
-	"github.com/runworks/runworks/services/home"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/idempotency"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 // Defaults of an agent's bounds.
@@ -56,7 +56,7 @@
 	// KeyedLimit the same with a key.
 	OrphanLimit time.Duration
 	KeyedLimit  time.Duration
-	// KeySkew, KeyKeep and MaxKeys are the bounds of the key records (package home).
+	// KeySkew, KeyKeep and MaxKeys are the bounds of the key records (package idempotency).
 	KeySkew time.Duration
 	KeyKeep time.Duration
 	MaxKeys int
@@ -67,7 +67,7 @@
 	end         context.CancelFunc
 
 	mu      sync.Mutex
-	queue   ticket.Queue
+	queue   reservation.Queue
 	links   map[runworks.Incarnation]*link
 	runs    map[runworks.RequestID]*run
 	busy    map[int]int
@@ -78,7 +78,7 @@
 	leaving bool
 	downTo  time.Time
 	changed notify.Change
-	keys    home.Home
+	keys    idempotency.Home
 	rates   estimate
 	past    []pastConfig
 }
@@ -97,8 +97,8 @@
 	a.links = make(map[runworks.Incarnation]*link)
 	a.runs = make(map[runworks.RequestID]*run)
 	a.busy = make(map[int]int)
-	a.queue = ticket.Queue{MaxWaiting: a.MaxWaiting, Floor: control.RefusalWindow}
-	a.keys = home.Home{Started: time.Now(), Skew: a.KeySkew, Keep: a.KeyKeep, MaxKeys: a.MaxKeys}
+	a.queue = reservation.Queue{MaxWaiting: a.MaxWaiting, Floor: control.RefusalWindow}
+	a.keys = idempotency.Home{Started: time.Now(), Skew: a.KeySkew, Keep: a.KeyKeep, MaxKeys: a.MaxKeys}
 	a.work.Go(a.sweep)
 	if now := a.Config.InForce(); now != nil {
 		a.Configure(now)
--- a/services/agent/agent_test.go
+++ b/services/agent/agent_test.go
@@ -18,7 +18,7 @@
 	"github.com/runworks/runworks/modules/tracing"
 	"github.com/runworks/runworks/services/config"
 	"github.com/runworks/runworks/services/control"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 // noResume keeps no answers.
@@ -65,7 +65,7 @@
 	a.Configure(config.NewInForce(1, &runworks.Config{Services: []runworks.Service{{
 		Name: "llm", BackendServers: []runworks.BackendServer{{Name: "e1", Address: "http://e1", Slots: 2}},
 	}}}))
-	claimed = newRun(&ticket.Waiting{Ticket: runworks.Ticket{ID: "1.1", PromptTokens: 5}})
+	claimed = newRun(&reservation.Waiting{Reservation: runworks.Reservation{ID: "1.1", PromptTokens: 5}})
 	a.mu.Lock()
 	a.runs[claimed.id] = claimed
 	a.busy[0]++
--- a/services/agent/claim.go
+++ b/services/agent/claim.go
@@ -6,7 +6,7 @@
 
 	"github.com/runworks/runworks/modules/metrics"
 	"github.com/runworks/runworks/services/control"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 // scheduleLocked claims the first tickets while slots are free.
@@ -43,7 +43,7 @@
 }
 
 // claimLocked takes a slot for a ticket and asks its entry for the request.
-func (a *Agent) claimLocked(w *ticket.Waiting) {
+func (a *Agent) claimLocked(w *reservation.Waiting) {
 	l := a.links[w.Source]
 	if l == nil || a.runs[w.ID] != nil {
 		return
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -12,7 +12,7 @@
 	"github.com/runworks/runworks/modules/metrics"
 	"github.com/runworks/runworks/modules/rpc"
 	"github.com/runworks/runworks/services/control"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 const documentTimeout = 2 * time.Second
@@ -192,9 +192,9 @@
 }
 
 // offerLocked takes one ticket, or gives the reason for refusing it.
-func (a *Agent) offerLocked(l *link, t *runworks.Ticket) control.RefusalReason {
+func (a *Agent) offerLocked(l *link, t *runworks.Reservation) control.RefusalReason {
 	now := time.Now()
-	if t.Left <= 0 || !a.rates.fits(t.Tier, t.Cost(), t.Left) {
+	if t.TimeLeft <= 0 || !a.rates.fits(t.Tier, t.Cost(), t.TimeLeft) {
 		// No room would help, so lower tiers are not barred.
 		return control.RefusedTooLate
 	}
@@ -202,15 +202,15 @@
 		a.queue.Refuse(now, t.Tier)
 		return reason
 	}
-	w := &ticket.Waiting{Ticket: *t, Source: l.source, Deadline: now.Add(t.Left)}
+	w := &reservation.Waiting{Reservation: *t, Source: l.source, Deadline: now.Add(t.TimeLeft)}
 	verdict, victim := a.queue.Offer(now, w, a.busyBelowLocked)
 	if victim != nil {
 		a.refuseLocked(victim, control.RefusedDropped)
 	}
 	switch verdict {
-	case ticket.Full:
+	case reservation.Full:
 		return control.RefusedFull
-	case ticket.BelowFloor:
+	case reservation.BelowFloor:
 		return control.RefusedFloor
 	}
 	return ""
@@ -230,7 +230,7 @@
 }
 
 // refuseLocked tells the entry of a ticket that it is no longer held.
-func (a *Agent) refuseLocked(w *ticket.Waiting, reason control.RefusalReason) {
+func (a *Agent) refuseLocked(w *reservation.Waiting, reason control.RefusalReason) {
 	l := a.links[w.Source]
 	if l == nil {
 		return
--- a/services/agent/run.go
+++ b/services/agent/run.go
@@ -8,13 +8,13 @@
 	"github.com/runworks/runworks"
 	"github.com/runworks/runworks/modules/stream"
 	"github.com/runworks/runworks/services/control"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 // run is a request that this agent claimed, and its answer.
 type run struct {
 	id     runworks.RequestID
-	ticket runworks.Ticket
+	ticket runworks.Reservation
 	asked  time.Time
 	// started is closed when the request leaves the claimed state for running.
 	started chan struct{}
@@ -39,9 +39,9 @@
 	err    error
 }
 
-func newRun(w *ticket.Waiting) *run {
+func newRun(w *reservation.Waiting) *run {
 	return &run{
-		id: w.ID, ticket: w.Ticket, asked: time.Now(), state: control.StateClaimed,
+		id: w.ID, ticket: w.Reservation, asked: time.Now(), state: control.StateClaimed,
 		started: make(chan struct{}), headed: make(chan struct{}),
 	}
 }
--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -52,7 +52,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Result{}, errorx.Decorate(runworks.ErrUnknownFate,
+			return Result{}, errorx.Decorate(runworks.ErrOutcomeUnknown,
 				"apply %s does not stand on the log up to offset %d (append: %v)", id, fold.Next, appendErr)
 		case <-time.After(applyPoll):
 		}
@@ -61,7 +61,7 @@
 
 func verdict(result Result) (Result, error) {
 	if !result.Accepted {
-		return result, errorx.Decorate(runworks.ErrBasedOnOlder, "version %d is in force", result.Version)
+		return result, errorx.Decorate(runworks.ErrStaleBase, "version %d is in force", result.Version)
 	}
 	return result, nil
 }
--- a/services/config/fold_test.go
+++ b/services/config/fold_test.go
@@ -162,7 +162,7 @@
 						result, err := Apply(ctx, log, version, document(operator*10+i))
 						cancel()
 						returned := time.Now().UnixNano()
-						out := applyOutput{accepted: err == nil, version: result.Version, unknown: err != nil && !errors.Is(err, runworks.ErrBasedOnOlder)}
+						out := applyOutput{accepted: err == nil, version: result.Version, unknown: err != nil && !errors.Is(err, runworks.ErrStaleBase)}
 						if out.unknown {
 							returned = math.MaxInt64 // it may take effect later
 						}
--- a/services/control/messages.go
+++ b/services/control/messages.go
@@ -59,8 +59,8 @@
 
 // Tickets places and withdraws tickets, in this order.
 type Tickets struct {
-	Place    []runworks.Ticket    `json:"place,omitempty"`
-	Withdraw []runworks.RequestID `json:"withdraw,omitempty"`
+	Place    []runworks.Reservation `json:"place,omitempty"`
+	Withdraw []runworks.RequestID   `json:"withdraw,omitempty"`
 }
 
 // RefusalReason says why an agent does not hold a ticket.
--- a/services/dispatch/borrow.go
+++ b/services/dispatch/borrow.go
@@ -76,7 +76,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.servers[server]
-	if s == nil || s.Leaving {
+	if s == nil || s.Draining {
 		return 0
 	}
 	if of := d.services[s.Service]; of != nil && of.queue.Len() > 0 {
--- a/services/dispatch/choose.go
+++ b/services/dispatch/choose.go
@@ -161,7 +161,7 @@
 	score *= 1 + taste*draw(s.ID, d.Self)
 	switch {
 	case s.Hall == d.Hall:
-	case len(d.peers) > runworks.ManyEntries:
+	case len(d.peers) > runworks.ManyEntriesThreshold:
 		score += farCost
 	default:
 		score += hallCost
@@ -173,7 +173,7 @@
 func (s *service) paces() (typical, fastest float64) {
 	sum, n := 0.0, 0
 	for _, one := range s.servers {
-		if one.pace == 0 || one.Leaving {
+		if one.pace == 0 || one.Draining {
 			continue
 		}
 		pace := float64(one.pace)
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/runworks/runworks"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 const (
@@ -101,7 +101,7 @@
 type service struct {
 	name    string
 	servers []*server
-	queue   ticket.Queue
+	queue   reservation.Queue
 	asks    map[runworks.RequestID]*waiter
 	// entries is how many other entries are heard.
 	entries int
@@ -258,7 +258,7 @@
 // answer, and the slot is of more use to a call that has none. A stream that goes on does wait.
 func (s *service) any(now time.Time, ask *Ask) bool {
 	for _, one := range s.servers {
-		if !one.Leaving && !slices.Contains(ask.Avoid, one.life) && (!ask.Ran || ask.Resumed || !one.withheld(now)) {
+		if !one.Draining && !slices.Contains(ask.Avoid, one.life) && (!ask.Ran || ask.Resumed || !one.withheld(now)) {
 			return true
 		}
 	}
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -170,7 +170,7 @@
 		is := is.New(t)
 		d := newDispatcher(4, 4)
 		list := instances(4, 4)
-		list[0].Leaving = true
+		list[0].Draining = true
 		left := d.Replace(list).Left
 		is.Equal(len(left), 1)
 		for i := range 4 {
@@ -179,7 +179,7 @@
 		d.Replace(list)
 		away := ask("away", 0)
 		away.Service = "app"
-		list = append(list, runworks.Instance{ID: "p0", Service: "app", Slots: 9, Leaving: true}, runworks.Instance{ID: "p1", Service: "app", Slots: 9})
+		list = append(list, runworks.Instance{ID: "p0", Service: "app", Slots: 9, Draining: true}, runworks.Instance{ID: "p1", Service: "app", Slots: 9})
 		d.Replace(list)
 		for range 3 { // also when the only other one can't be reached
 			lease := <-acquired(d, away)
--- a/services/dispatch/fleet.go
+++ b/services/dispatch/fleet.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/runworks/runworks"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 // FleetChange tells what a new list of backend servers changed.
@@ -29,7 +29,7 @@
 	d.servers = make(map[string]*server, len(list))
 	d.newest = make(map[string]*server, len(list))
 	for _, one := range list {
-		life := one.Life()
+		life := one.IncarnationID()
 		s := old[life]
 		if s == nil {
 			s = &server{life: life, words: d.takeLapsed(life)}
@@ -37,12 +37,12 @@
 				d.partLimitLocked(now, s) // the entries may have changed meanwhile
 			}
 			out.Added = append(out.Added, one)
-		} else if one.Withdrawn() && !s.Leaving {
+		} else if one.Unavailable() && !s.Draining {
 			out.Left = append(out.Left, one)
 		}
-		s.leaving = s.leaving || one.Leaving
+		s.leaving = s.leaving || one.Draining
 		s.Instance = one
-		s.Leaving = one.Withdrawn() || s.leaving
+		s.Draining = one.Unavailable() || s.leaving
 		d.servers[life] = s
 		d.newest[one.ID] = s
 	}
@@ -50,16 +50,16 @@
 		if d.servers[life] != nil {
 			continue
 		}
-		if !s.Leaving {
+		if !s.Draining {
 			out.Gone = append(out.Gone, s.Instance)
 		}
 		if d.newest[s.ID] != nil {
 			out.Ended = append(out.Ended, s.Instance)
 			s.end()
-		} else if !s.Leaving {
+		} else if !s.Draining {
 			out.Left = append(out.Left, s.Instance)
 		}
-		s.Leaving = true
+		s.Draining = true
 		d.keepLapsed(now, s)
 	}
 	d.regroupLocked()
@@ -103,7 +103,7 @@
 	}
 	return &service{
 		name: name, asks: make(map[runworks.RequestID]*waiter),
-		queue: ticket.Queue{MaxWaiting: maxWaiting}, borrowing: borrowing{on: d.OnWant != nil},
+		queue: reservation.Queue{MaxWaiting: maxWaiting}, borrowing: borrowing{on: d.OnWant != nil},
 	}
 }
 
@@ -112,24 +112,24 @@
 func (d *Dispatcher) Own() runworks.EntryLoad {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := runworks.EntryLoad{Running: make(runworks.RunningCalls), Waiting: make(runworks.WaitingCalls), Failed: map[string]int{}, Reading: map[string]int{}}
+	out := runworks.EntryLoad{Running: make(runworks.RunningCalls), Waiting: make(runworks.WaitingCalls), ConsecutiveFailures: map[string]int{}, UnreadPromptTokens: map[string]int{}}
 	now := time.Now()
 	for life, s := range d.servers {
 		s.vacated = 0
 		if s.failing(now, d.services[s.Service]) {
-			out.LeftOut = append(out.LeftOut, life)
+			out.Ejected = append(out.Ejected, life)
 		}
 		if s.own > 0 {
 			out.Running[life] = s.own
 		}
 		if s.reading >= minReadingTold {
-			out.Reading[life] = s.reading
+			out.UnreadPromptTokens[life] = s.reading
 		}
 		if s.failed > 0 {
-			out.Failed[life] = s.failed
+			out.ConsecutiveFailures[life] = s.failed
 		}
 	}
-	slices.Sort(out.LeftOut)
+	slices.Sort(out.Ejected)
 	for name, s := range d.services {
 		if rank, calls := s.queue.First(); calls > 0 {
 			out.Waiting[name] = runworks.WaitingCall{Rank: rank, Calls: calls}
@@ -190,14 +190,14 @@
 	d.addLocked(old, -1)
 	d.addLocked(load, 1)
 	now := time.Now()
-	for _, id := range slices.Concat(old.LeftOut, load.LeftOut) {
+	for _, id := range slices.Concat(old.Ejected, load.Ejected) {
 		if s := d.find(id); s != nil {
 			d.noteDoubtsLocked(now, s)
 		}
 	}
 	for _, s := range d.services {
 		s.entries = len(d.peers)
-		if len(old.Failed)+len(load.Failed) > 0 {
+		if len(old.ConsecutiveFailures)+len(load.ConsecutiveFailures) > 0 {
 			d.judgeLocked(now, s)
 		}
 		d.pumpLocked(s)
@@ -233,17 +233,17 @@
 			s.others += times * n
 		}
 	}
-	for id, n := range load.Reading {
+	for id, n := range load.UnreadPromptTokens {
 		if s := d.find(id); s != nil {
 			s.othersReading += times * n
 		}
 	}
-	for id, n := range load.Failed {
+	for id, n := range load.ConsecutiveFailures {
 		if s := d.find(id); s != nil {
 			s.othersFailed += times * n
 		}
 	}
-	for _, id := range load.LeftOut {
+	for _, id := range load.Ejected {
 		if s := d.find(id); s != nil {
 			s.doubts += times
 		}
@@ -280,8 +280,8 @@
 	for _, s := range d.servers {
 		limit, _ := s.limit.Word()
 		out = append(out, Load{
-			ID: s.ID, Born: s.Born, Service: s.Service, Hall: s.Hall, Slots: s.Slots, Own: s.own, Others: s.others,
-			Leaving: s.Leaving, Suspended: s.suspended, Limit: limit, LimitPart: s.limit.Part().PerSecond,
+			ID: s.ID, Born: s.Generation, Service: s.Service, Hall: s.Hall, Slots: s.Slots, Own: s.own, Others: s.others,
+			Leaving: s.Draining, Suspended: s.suspended, Limit: limit, LimitPart: s.limit.Part().PerSecond,
 			SaysLeaving: s.leaving, RestsUntil: s.rest.until, Told: s.toldLoad,
 		})
 	}
--- a/services/dispatch/health.go
+++ b/services/dispatch/health.go
@@ -29,7 +29,7 @@
 // work. What other entries say of it counts until it was heard here.
 func (s *service) healthy(now time.Time, one *server) bool {
 	doubted := !one.doubted.IsZero() && !one.heard.After(one.doubted)
-	return !one.Leaving && !doubted && !one.failing(now, s)
+	return !one.Draining && !doubted && !one.failing(now, s)
 }
 
 // failing says whether calls of this entry speak against a server.
@@ -86,7 +86,7 @@
 func (d *Dispatcher) judgeLocked(now time.Time, s *service) {
 	sum, n := 0, 0
 	for _, one := range s.servers {
-		if !one.Leaving {
+		if !one.Draining {
 			sum += one.failed + one.othersFailed
 			n++
 		}
--- a/services/dispatch/health_test.go
+++ b/services/dispatch/health_test.go
@@ -33,9 +33,9 @@
 		silent := taken(t, d, "silent")
 		is.Equal(silent.Instance.ID, "s0")
 		silent.Responded()
-		is.Equal(len(d.Own().LeftOut), 0)
+		is.Equal(len(d.Own().Ejected), 0)
 		time.Sleep(silence + time.Millisecond)
-		is.Equal(d.Own().LeftOut, []string{"s0"})
+		is.Equal(d.Own().Ejected, []string{"s0"})
 		d.pumpAll()
 		for i := range 3 {
 			is.Equal(taken(t, d, fmt.Sprint(i)).Instance.ID, "s1")
@@ -58,7 +58,7 @@
 		first.Release(Served)
 		taken(t, d, "second")
 		time.Sleep(10 * time.Second)
-		is.Equal(len(d.Own().LeftOut), 0)
+		is.Equal(len(d.Own().Ejected), 0)
 	})
 }
 
@@ -74,18 +74,18 @@
 		other := map[string]string{"s0": "s1", "s1": "s0"}[before.Instance.ID]
 		d.Report("busy", runs(runworks.RunningCalls{other: 5})) // so that it is the worse
 		time.Sleep(time.Millisecond)
-		d.Report("other", runworks.EntryLoad{LeftOut: []string{before.Instance.ID}})
+		d.Report("other", runworks.EntryLoad{Ejected: []string{before.Instance.ID}})
 		for i := range 3 {
 			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != before.Instance.ID)
 		}
-		is.Equal(len(d.Own().LeftOut), 0) // hearsay is not passed on
+		is.Equal(len(d.Own().Ejected), 0) // hearsay is not passed on
 		time.Sleep(time.Millisecond)
 		before.FirstEvent(0)
 		is.Equal(taken(t, d, "after").Instance.ID, before.Instance.ID)
 		d.Report("other", runworks.EntryLoad{})
 		is.Equal(told, []int{1, 0})
 		before.Release(Broken)
-		is.Equal(d.Own().LeftOut, []string{before.Instance.ID})
+		is.Equal(d.Own().Ejected, []string{before.Instance.ID})
 	})
 }
 
@@ -101,10 +101,10 @@
 		for i := range 5 {
 			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != moved.Instance.ID)
 		}
-		is.Equal(d.Own().LeftOut, []string{moved.Instance.ID})
+		is.Equal(d.Own().Ejected, []string{moved.Instance.ID})
 		// Nor when no other is healthy.
 		time.Sleep(time.Millisecond)
-		d.Report("other", runworks.EntryLoad{LeftOut: []string{"s0", "s1"}})
+		d.Report("other", runworks.EntryLoad{Ejected: []string{"s0", "s1"}})
 		is.True(taken(t, d, "last").Instance.ID != moved.Instance.ID)
 	})
 }
@@ -117,15 +117,15 @@
 		d := newDispatcher(9, 9, 9)
 		bad := taken(t, d, "bad")
 		id := bad.Instance.ID
-		d.Report("other", runworks.EntryLoad{Failed: map[string]int{id: minFailed - 1}})
+		d.Report("other", runworks.EntryLoad{ConsecutiveFailures: map[string]int{id: minFailed - 1}})
 		bad.Release(Failed)
-		is.Equal(d.Own().LeftOut, []string{id})
-		is.Equal(len(d.Own().Failed), 0) // the count starts anew
+		is.Equal(d.Own().Ejected, []string{id})
+		is.Equal(len(d.Own().ConsecutiveFailures), 0) // the count starts anew
 		for i := range 6 {
 			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != id)
 		}
 		time.Sleep(failedSuspension)
-		is.Equal(len(d.Own().LeftOut), 0)
+		is.Equal(len(d.Own().Ejected), 0)
 	})
 }
 
@@ -143,7 +143,7 @@
 				one.Release(Failed)
 			}
 		}
-		is.Equal(len(d.Own().LeftOut), 0)
-		is.Equal(len(d.Own().Failed), 3)
+		is.Equal(len(d.Own().Ejected), 0)
+		is.Equal(len(d.Own().ConsecutiveFailures), 3)
 	})
 }
--- a/services/dispatch/lapse.go
+++ b/services/dispatch/lapse.go
@@ -60,7 +60,7 @@
 			at = now
 		}
 		left := at.Add(lapseGrace).Sub(now)
-		if one.Withdrawn() || at.IsZero() || left <= 0 {
+		if one.Unavailable() || at.IsZero() || left <= 0 {
 			l.noteGone(now, &one)
 			continue
 		}
@@ -81,7 +81,7 @@
 	}
 	gone := 0
 	for id, one := range l.known {
-		if _, ok := listed[id]; !ok && !one.Withdrawn() && l.since[id].IsZero() {
+		if _, ok := listed[id]; !ok && !one.Unavailable() && l.since[id].IsZero() {
 			gone++
 		}
 	}
@@ -95,12 +95,12 @@
 	left := l.returned.Add(returnGrace).Sub(now)
 	out = list[:0]
 	for _, one := range list {
-		at, went := l.gone[one.Life()]
+		at, went := l.gone[one.IncarnationID()]
 		if went && left > 0 && at.Before(l.returned) {
 			again = left
 			continue
 		}
-		delete(l.gone, one.Life())
+		delete(l.gone, one.IncarnationID())
 		out = append(out, one)
 	}
 	return out, again
@@ -110,7 +110,7 @@
 	if l.gone == nil {
 		l.gone = make(map[string]time.Time)
 	}
-	l.gone[one.Life()] = now
+	l.gone[one.IncarnationID()] = now
 }
 
 // sooner gives the shorter of two waits; 0 is none.
--- a/services/dispatch/lapse_test.go
+++ b/services/dispatch/lapse_test.go
@@ -35,7 +35,7 @@
 	list, next = l.Merge(now, all[1:]) // one leaves
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	is.Equal(next, time.Duration(0))
-	all[1].Leaving = true
+	all[1].Draining = true
 	_, _ = l.Merge(now, all[1:])
 	list, next = l.Merge(now, nil) // the store lost them; s1 had said that it leaves
 	is.Equal(ids(list), "s2 s3 s4 s5")
--- a/services/dispatch/life_test.go
+++ b/services/dispatch/life_test.go
@@ -15,7 +15,7 @@
 
 // bornAt gives the life of the server s0 that began at a time.
 func bornAt(born int64) runworks.Instance {
-	return runworks.Instance{ID: "s0", Born: born, Service: "llm", Hall: "a", Slots: 4}
+	return runworks.Instance{ID: "s0", Generation: born, Service: "llm", Hall: "a", Slots: 4}
 }
 
 // TestNewLifeBeginsAnew starts a server again under its id: nothing that was known of its
@@ -31,7 +31,7 @@
 		lost := taken(t, d, "lost")
 		lost.Release(Unreachable)
 		d.Report("other", runworks.EntryLoad{
-			Running: runworks.RunningCalls{"s0/100": 3}, Reading: map[string]int{"s0/100": 9000}, Failed: map[string]int{"s0/100": 9}, LeftOut: []string{"s0/100"},
+			Running: runworks.RunningCalls{"s0/100": 3}, UnreadPromptTokens: map[string]int{"s0/100": 9000}, ConsecutiveFailures: map[string]int{"s0/100": 9}, Ejected: []string{"s0/100"},
 		})
 		old := d.servers["s0/100"]
 		is.True(!d.services["llm"].healthy(time.Now(), old))
@@ -40,7 +40,7 @@
 
 		change := d.Replace([]runworks.Instance{bornAt(200)})
 		is.Equal(len(change.Ended), 1)
-		is.Equal(change.Ended[0].Born, int64(100))
+		is.Equal(change.Ended[0].Generation, int64(100))
 		is.Equal(len(change.Added), 1)
 		is.Equal(len(change.Left), 0)
 		now := d.servers["s0/200"]
@@ -62,7 +62,7 @@
 		again := ask("again", 0)
 		again.Avoid = []string{"s0/100"} // it had the call before it started again
 		second := <-acquired(d, again)
-		is.Equal(second.Instance.Born, int64(200))
+		is.Equal(second.Instance.Generation, int64(200))
 		lease.Release(Broken) // tells nothing of the new life
 		is.Equal(now.failures, 0)
 		is.Equal(now.own, 1)
@@ -118,11 +118,11 @@
 func TestGone(t *testing.T) {
 	is := is.New(t)
 	d := &Dispatcher{}
-	d.Replace([]runworks.Instance{{ID: "a", Born: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}, {ID: "d", Service: "s"}})
-	is.Equal(len(d.Replace([]runworks.Instance{{ID: "a", Born: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s", Leaving: true}, {ID: "d", Service: "s"}}).Gone), 0)
+	d.Replace([]runworks.Instance{{ID: "a", Generation: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}, {ID: "d", Service: "s"}})
+	is.Equal(len(d.Replace([]runworks.Instance{{ID: "a", Generation: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s", Draining: true}, {ID: "d", Service: "s"}}).Gone), 0)
 	var gone []string
-	for _, one := range d.Replace([]runworks.Instance{{ID: "a", Born: 2, Service: "s"}, {ID: "d", Service: "s"}}).Gone {
-		gone = append(gone, one.Life())
+	for _, one := range d.Replace([]runworks.Instance{{ID: "a", Generation: 2, Service: "s"}, {ID: "d", Service: "s"}}).Gone {
+		gone = append(gone, one.IncarnationID())
 	}
 	slices.Sort(gone)
 	is.Equal(gone, []string{"a/1", "b"})
--- a/services/dispatch/limit.go
+++ b/services/dispatch/limit.go
@@ -114,7 +114,7 @@
 	}
 	gone := false
 	for id, since := range d.absent {
-		if now.Sub(since) > runworks.ForgetEntryAfter {
+		if now.Sub(since) > runworks.EntryTimeout {
 			delete(d.absent, id)
 			gone = true
 		}
--- a/services/dispatch/limit_test.go
+++ b/services/dispatch/limit_test.go
@@ -18,7 +18,7 @@
 // limitOf has a server name a limit to a dispatcher, in the answer to a call.
 func limitOf(d *Dispatcher, id string, perSecond float64) {
 	lease := &Lease{dispatcher: d, server: d.servers[id], Instance: d.servers[id].Instance}
-	lease.Hear(&runworks.ServerWord{Limit: &runworks.RateLimit{Named: true, PerSecond: perSecond}}, time.Now())
+	lease.Hear(&runworks.ServerReport{Limit: &runworks.RateLimit{Named: true, PerSecond: perSecond}}, time.Now())
 }
 
 // served takes slots one after the other, as long as there are any at once, and counts
@@ -47,7 +47,7 @@
 		d.OnSuspend = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
 		limitOf(d, "s0", 2)
 		is.Equal(served(t, d), map[string]int{"s1": 4})
-		is.Equal(len(d.Own().LeftOut), 0)
+		is.Equal(len(d.Own().Ejected), 0)
 		time.Sleep(time.Second)
 		is.Equal(served(t, d), map[string]int{"s0": 2})
 	})
@@ -144,7 +144,7 @@
 		is.Equal(part(), 2.0)
 		d.Lose("other")
 		is.Equal(part(), 2.0)
-		time.Sleep(runworks.ForgetEntryAfter - time.Second)
+		time.Sleep(runworks.EntryTimeout - time.Second)
 		is.Equal(part(), 2.0)
 		time.Sleep(2 * time.Second)
 		is.Equal(part(), 4.0)
@@ -206,7 +206,7 @@
 		is.Equal(d.Loads()[0].Limit.PerSecond, 2.0)
 		is.Equal(served(t, d), map[string]int{})
 		d.Replace(nil)
-		time.Sleep(runworks.ForgetEntryAfter + time.Second)
+		time.Sleep(runworks.EntryTimeout + time.Second)
 		d.Replace(instances(8))
 		is.Equal(d.Loads()[0].Limit, runworks.RateLimit{})
 		is.Equal(len(d.lapsed), 0)
@@ -222,7 +222,7 @@
 			d.TakeWords("other", []runworks.ServerNotice{{Server: strings.Repeat("x", i%97) + time.Duration(i).String()}})
 		}
 		is.Equal(len(d.early), maxEarly)
-		time.Sleep(runworks.ForgetEntryAfter + time.Second)
+		time.Sleep(runworks.EntryTimeout + time.Second)
 		d.Replace(nil)
 		is.Equal(len(d.early), 0)
 	})
--- a/services/dispatch/load_test.go
+++ b/services/dispatch/load_test.go
@@ -166,7 +166,7 @@
 		largest = max(largest, count)
 	}
 	far := 1
-	if n > runworks.ManyEntries && len(halls) > 1 {
+	if n > runworks.ManyEntriesThreshold && len(halls) > 1 {
 		far = max(1, int(time.Duration(n-largest)*loadPerFar/loadBeat))
 		n = largest
 	}
--- a/services/dispatch/model.go
+++ b/services/dispatch/model.go
@@ -73,7 +73,7 @@
 	o := &outlook{maxPause: s.maxPause.Seconds(), perEvent: float64(s.perEvent)}
 	o.start, o.perToken, o.known = s.readings.line()
 	for _, one := range s.servers {
-		if pace := float64(one.steady); pace > 0 && !one.Leaving && (o.fastest == 0 || pace < o.fastest) {
+		if pace := float64(one.steady); pace > 0 && !one.Draining && (o.fastest == 0 || pace < o.fastest) {
 			o.fastest = pace
 		}
 	}
--- a/services/dispatch/model_test.go
+++ b/services/dispatch/model_test.go
@@ -89,7 +89,7 @@
 		}
 		first := <-acquired(d, prompted("first", 500))
 		first.Release(Served)
-		reads := runworks.EntryLoad{Reading: map[string]int{first.Instance.ID: 60000}}
+		reads := runworks.EntryLoad{UnreadPromptTokens: map[string]int{first.Instance.ID: 60000}}
 		d.Report("other", reads)
 		is.True((<-acquired(d, prompted("second", 500))).Instance.ID != first.Instance.ID)
 		d.Report("other", runworks.EntryLoad{})
@@ -103,13 +103,13 @@
 		is := is.New(t)
 		d := newDispatcher(9)
 		l := <-acquired(d, prompted("long", minReadingTold))
-		is.Equal(d.Own().Reading, map[string]int{"s0": minReadingTold})
+		is.Equal(d.Own().UnreadPromptTokens, map[string]int{"s0": minReadingTold})
 		l.FirstEvent(minReadingTold)
-		is.Equal(len(d.Own().Reading), 0)
+		is.Equal(len(d.Own().UnreadPromptTokens), 0)
 		l.Release(Served)
 		left := <-acquired(d, prompted("left", minReadingTold))
 		left.Release(Abandoned)
-		is.Equal(len(d.Own().Reading), 0)
+		is.Equal(len(d.Own().UnreadPromptTokens), 0)
 	})
 }
 
--- a/services/dispatch/press_test.go
+++ b/services/dispatch/press_test.go
@@ -201,7 +201,7 @@
 	for err == nil && p.turnedAway(e, lease) {
 		ask.Avoid = append(ask.Avoid, lease.Instance.ID)
 		if len(ask.Avoid) == pressSends {
-			err = runworks.ErrTurnedAway
+			err = runworks.ErrRejected
 			break
 		}
 		lease, err = e.Acquire(p.ctx, ask)
@@ -235,7 +235,7 @@
 	p.served++
 	p.left(server)
 	p.mu.Unlock()
-	lease.Hear(&runworks.ServerWord{Limit: &runworks.RateLimit{Named: named, PerSecond: limit}}, sent)
+	lease.Hear(&runworks.ServerReport{Limit: &runworks.RateLimit{Named: named, PerSecond: limit}}, sent)
 	lease.Release(Served)
 }
 
--- a/services/dispatch/rest_press_test.go
+++ b/services/dispatch/rest_press_test.go
@@ -74,7 +74,7 @@
 	}
 	p.mu.Unlock()
 	time.Sleep(pressWay)
-	lease.Hear(&runworks.ServerWord{Rest: lasts}, now)
+	lease.Hear(&runworks.ServerReport{Backoff: lasts}, now)
 	lease.Release(TurnedAway)
 	if p.shares && lasts > 0 {
 		p.shareRest(e, server, lasts)
--- a/services/dispatch/rest_test.go
+++ b/services/dispatch/rest_test.go
@@ -15,7 +15,7 @@
 
 // rests has a server ask for rest.
 func rests(d *Dispatcher, life string, lasts time.Duration) {
-	hears(d, life, &runworks.ServerWord{Rest: lasts})
+	hears(d, life, &runworks.ServerReport{Backoff: lasts})
 }
 
 // TestRestingServerHasNotFailed leaves a server alone that asked for rest, holds nothing against
@@ -36,7 +36,7 @@
 		is.Equal(placed.Withdrawn(), placed.Instance.ID == "s0")
 		placed.Release(Abandoned)
 		is.Equal(served(t, d), map[string]int{"s1": 4})
-		is.Equal(len(d.Own().LeftOut), 0)
+		is.Equal(len(d.Own().Ejected), 0)
 		is.Equal(d.Lend("s0", 1), 0)
 
 		time.Sleep(time.Until(d.servers["s0"].rest.until))
@@ -89,7 +89,7 @@
 		is.True(d.RestsFor("llm") >= 2*time.Second)
 		d.Replace([]runworks.Instance{bornAt(200)})
 		is.Equal(d.RestsFor("llm"), time.Duration(0))
-		is.Equal(taken(t, d, "next life").Instance.Born, int64(200))
+		is.Equal(taken(t, d, "next life").Instance.Generation, int64(200))
 	})
 }
 
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -112,9 +112,9 @@
 		}
 		return out
 	}
-	load := runworks.EntryLoad{Running: counts(), Reading: counts(), Failed: counts()}
+	load := runworks.EntryLoad{Running: counts(), UnreadPromptTokens: counts(), ConsecutiveFailures: counts()}
 	if rng.IntN(3) == 0 {
-		load.LeftOut = []string{fmt.Sprint("s", rng.IntN(20))}
+		load.Ejected = []string{fmt.Sprint("s", rng.IntN(20))}
 	}
 	return load
 }
@@ -161,7 +161,7 @@
 			}
 			for i := range c.needed {
 				is.True(d.servers["s0"].doubted.IsZero())
-				d.Report(life(i), runworks.EntryLoad{LeftOut: []string{"s0"}})
+				d.Report(life(i), runworks.EntryLoad{Ejected: []string{"s0"}})
 			}
 			is.True(!d.servers["s0"].doubted.IsZero())
 			d.Report(life(0), runworks.EntryLoad{})
--- a/services/dispatch/server.go
+++ b/services/dispatch/server.go
@@ -117,7 +117,7 @@
 
 // hasSlot says whether the server has a free slot for this entry, as far as is known.
 func (s *server) hasSlot(now time.Time, of *service) bool {
-	return !s.Leaving && !s.moved && !now.Before(s.full) && s.rest.room(now) && s.load() < of.capacity(s)
+	return !s.Draining && !s.moved && !now.Before(s.full) && s.rest.room(now) && s.load() < of.capacity(s)
 }
 
 // note records how a call ended; it gives how long the server is left out for it.
--- a/services/dispatch/waiting.go
+++ b/services/dispatch/waiting.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/runworks/runworks"
-	"github.com/runworks/runworks/services/ticket"
+	"github.com/runworks/runworks/services/reservation"
 )
 
 const (
@@ -39,8 +39,8 @@
 	if pause := w.ask.MaxPause; pause > 0 && (s.maxPause == 0 || pause < s.maxPause) {
 		s.maxPause = pause
 	}
-	t := &ticket.Waiting{
-		Ticket: runworks.Ticket{
+	t := &reservation.Waiting{
+		Reservation: runworks.Reservation{
 			ID: w.ask.ID, Service: w.ask.Service, Tier: queueRank(w.ask, w.late), Customer: w.ask.Customer,
 			PromptTokens: w.ask.PromptTokens, MaxTokens: w.ask.MaxTokens,
 		},
@@ -51,7 +51,7 @@
 	if dropped != nil {
 		s.drop(dropped.ID, runworks.ErrShortage)
 	}
-	if verdict != ticket.Taken {
+	if verdict != reservation.Taken {
 		return false
 	}
 	s.asks[w.ask.ID] = w
--- a/services/dispatch/withheld.go
+++ b/services/dispatch/withheld.go
@@ -15,7 +15,7 @@
 func (s *service) withheld(now time.Time) bool {
 	n := 0
 	for _, one := range s.servers {
-		if one.Leaving {
+		if one.Draining {
 			continue
 		}
 		if !one.limit.InForce(now) && !one.rest.asked(now) {
@@ -32,7 +32,7 @@
 func (s *service) withheldStart(now time.Time, share float64, ahead int) float64 {
 	soonest, rate, lends := math.Inf(1), 0.0, false
 	for _, one := range s.servers {
-		if one.Leaving {
+		if one.Draining {
 			continue
 		}
 		soonest = min(soonest, max(one.limit.Wait(now), one.rest.wait(now)))
@@ -62,7 +62,7 @@
 func (s *service) restsFor(now time.Time) time.Duration {
 	soonest := time.Duration(0)
 	for _, one := range s.servers {
-		if one.Leaving {
+		if one.Draining {
 			continue
 		}
 		if !one.rest.asked(now) {
--- a/services/dispatch/words.go
+++ b/services/dispatch/words.go
@@ -22,7 +22,7 @@
 
 // Hear takes what the call's server says of itself, in the answer to a request that was sent
 // at that time.
-func (l *Lease) Hear(word *runworks.ServerWord, sent time.Time) {
+func (l *Lease) Hear(word *runworks.ServerReport, sent time.Time) {
 	d := l.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,11 +34,11 @@
 	if s.ended {
 		return // a life that is over
 	}
-	if word.Leaving && d.hearLeavingLocked(s, "") {
-		d.tellWord(runworks.ServerNotice{Server: s.life, Leaving: true})
+	if word.Draining && d.hearLeavingLocked(s, "") {
+		d.tellWord(runworks.ServerNotice{Server: s.life, Draining: true})
 	}
-	if word.Rest > 0 {
-		d.hearRestLocked(now, s, word.Rest)
+	if word.Backoff > 0 {
+		d.hearRestLocked(now, s, word.Backoff)
 	}
 	if word.Limit != nil {
 		d.hearLimitLocked(now, s, word.Limit, sent)
@@ -56,7 +56,7 @@
 func (l *Lease) Withdrawn() bool {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
-	return l.server.Leaving || l.server.rest.asked(time.Now())
+	return l.server.Draining || l.server.rest.asked(time.Now())
 }
 
 // hearLeavingLocked takes a server's word that it will end, and says whether that is news; from
@@ -67,7 +67,7 @@
 	if s.leaving {
 		return false
 	}
-	s.leaving, s.Leaving = true, true
+	s.leaving, s.Draining = true, true
 	if d.OnLeaving != nil {
 		d.OnLeaving(s.Instance, from)
 	}
--- a/services/dispatch/words_lapsed.go
+++ b/services/dispatch/words_lapsed.go
@@ -41,6 +41,6 @@
 func (d *Dispatcher) tendLapsedLocked(now time.Time) {
 	maps.DeleteFunc(d.lapsed, func(_ string, one lapsedWords) bool {
 		gone := now.Sub(one.went)
-		return gone > lapsedKept || gone > runworks.ForgetEntryAfter && !one.leaving && !one.rest.asked(now)
+		return gone > lapsedKept || gone > runworks.EntryTimeout && !one.leaving && !one.rest.asked(now)
 	})
 }
--- a/services/dispatch/words_test.go
+++ b/services/dispatch/words_test.go
@@ -12,10 +12,10 @@
 	"github.com/runworks/runworks"
 )
 
-var leaves = &runworks.ServerWord{Leaving: true}
+var leaves = &runworks.ServerReport{Draining: true}
 
 // hears has a server say something of itself to a dispatcher, in the answer to a call.
-func hears(d *Dispatcher, life string, word *runworks.ServerWord) {
+func hears(d *Dispatcher, life string, word *runworks.ServerReport) {
 	lease := &Lease{dispatcher: d, server: d.servers[life], Instance: d.servers[life].Instance}
 	lease.Hear(word, time.Now())
 }
@@ -36,7 +36,7 @@
 		is.True(!waiting.Withdrawn())
 		hears(d, "s0/100", leaves)
 		hears(d, "s0/100", leaves)
-		is.Equal(told, []runworks.ServerNotice{{Server: "s0/100", Leaving: true}})
+		is.Equal(told, []runworks.ServerNotice{{Server: "s0/100", Draining: true}})
 		is.Equal(d.Words(), told)
 		is.True(waiting.Withdrawn())
 		waiting.Release(Abandoned)
@@ -54,10 +54,10 @@
 		time.Sleep(30 * time.Second)
 		d.Replace([]runworks.Instance{bornAt(100)})
 		nothing()
-		is.Equal(len(d.Own().LeftOut), 0)
+		is.Equal(len(d.Own().Ejected), 0)
 		running.Release(Served)
 		d.Replace([]runworks.Instance{bornAt(200)})
-		is.Equal(taken(t, d, "next life").Instance.Born, int64(200))
+		is.Equal(taken(t, d, "next life").Instance.Generation, int64(200))
 	})
 }
 
@@ -93,19 +93,19 @@
 		is := is.New(t)
 		d := newDispatcher(4, 4)
 		d.TellWord = func(runworks.ServerNotice) { t.Error("told on") }
-		d.TakeWords("other", []runworks.ServerNotice{{Server: "s1", Leaving: true}, {Server: "s2", Leaving: true}})
+		d.TakeWords("other", []runworks.ServerNotice{{Server: "s1", Draining: true}, {Server: "s2", Draining: true}})
 		limit := &runworks.RateLimit{Named: true, PerSecond: 3}
 		d.TakeWords("other", []runworks.ServerNotice{{Server: "s3", Limit: limit, LimitAgeMs: 1000}})
 		time.Sleep(time.Second)
-		d.TakeWords("other", []runworks.ServerNotice{{Server: "s3", Leaving: true}, {Server: "s2", Limit: limit}})
-		time.Sleep(runworks.ForgetEntryAfter)
+		d.TakeWords("other", []runworks.ServerNotice{{Server: "s3", Draining: true}, {Server: "s2", Limit: limit}})
+		time.Sleep(runworks.EntryTimeout)
 		d.Replace(instances(4, 4, 4))
 		is.Equal(served(t, d), map[string]int{"s0": 4})
 		is.Equal(len(d.Words()), 2)
 		d.Replace(instances(4, 4, 4, 4))
 		is.Equal(len(d.Words()), 3)
 		for _, one := range d.Words() {
-			is.True(one.Leaving)
+			is.True(one.Draining)
 			if one.Server == "s3" {
 				is.Equal(*one.Limit, *limit)
 				is.True(one.LimitAgeMs >= 12000)
@@ -126,7 +126,7 @@
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a"}
 		ready, draining := bornAt(100), bornAt(100)
-		draining.Leaving = true
+		draining.Draining = true
 		nothing := func(d *Dispatcher) {
 			t.Helper()
 			_, err := d.Acquire(context.Background(), ask("new", 0))
@@ -137,7 +137,7 @@
 		is.Equal(len(d.Replace([]runworks.Instance{ready}).Left), 0)
 		nothing(d)
 		d.Replace(nil) // it went
-		word := []runworks.ServerNotice{{Server: "s0/100", Leaving: true}}
+		word := []runworks.ServerNotice{{Server: "s0/100", Draining: true}}
 		is.Equal(d.Words(), word)
 		started := &Dispatcher{Hall: "a"}
 		started.TakeWords("other", d.Words())
--- a/services/dispatch/words_told.go
+++ b/services/dispatch/words_told.go
@@ -21,7 +21,7 @@
 			d.early = make(map[string]earlyWord)
 		}
 		if older, ok := d.early[one.Server]; ok || len(d.early) < maxEarly {
-			e.ServerNotice = one.Over(older.Aged(now.Sub(older.told)))
+			e.ServerNotice = one.Merge(older.AgedBy(now.Sub(older.told)))
 			d.early[one.Server] = e
 		}
 	}
@@ -38,7 +38,7 @@
 // expired says whether the word need not be kept any more.
 func (e *earlyWord) expired(now time.Time) bool {
 	age := now.Sub(e.told)
-	return age > lapsedKept || age > runworks.ForgetEntryAfter && !e.Leaving
+	return age > lapsedKept || age > runworks.EntryTimeout && !e.Draining
 }
 
 // maxEarly bounds the words that are kept for servers that are not known: all servers of the
@@ -47,7 +47,7 @@
 
 // takeWordLocked takes what another entry told of a server.
 func (d *Dispatcher) takeWordLocked(now time.Time, s *server, e *earlyWord) {
-	if e.Leaving {
+	if e.Draining {
 		d.hearLeavingLocked(s, e.from)
 	}
 	if e.Limit != nil {
@@ -87,14 +87,14 @@
 		if word, _ := s.limit.Word(); word.Named {
 			one = s.limitNotice(now)
 		}
-		one.Leaving = s.leaving
-		if one.Leaving || one.Limit != nil {
+		one.Draining = s.leaving
+		if one.Draining || one.Limit != nil {
 			out = append(out, one)
 		}
 	}
 	for life, one := range d.lapsed {
 		if one.leaving {
-			out = append(out, runworks.ServerNotice{Server: life, Leaving: true})
+			out = append(out, runworks.ServerNotice{Server: life, Draining: true})
 		}
 	}
 	return out
--- a/services/entry/answer.go
+++ b/services/entry/answer.go
@@ -126,7 +126,7 @@
 			return notDispatched("the agent has not run it")
 		case control.StateRunning, control.StateEnded:
 		default:
-			return a.unknown(runworks.ErrUnknownFate)
+			return a.unknown(runworks.ErrOutcomeUnknown)
 		}
 		metrics.Count(a.at.entry.Metrics.Resumes)
 		err := a.fetch(l)
@@ -166,7 +166,7 @@
 	case control.StateTombstoned:
 		return notDispatched("the agent has not run it")
 	}
-	return a.unknown(runworks.ErrUnknownFate)
+	return a.unknown(runworks.ErrOutcomeUnknown)
 }
 
 // afterLimit names the time limit as the cause of what ended because of it.
--- a/services/entry/candidates.go
+++ b/services/entry/candidates.go
@@ -48,7 +48,7 @@
 		candidates[i] = l.candidateLocked(now.Place(l.server).Server.Speed)
 	}
 	i := e.Picker.Pick(req, candidates)
-	return eligible[i], candidates[i].Free()
+	return eligible[i], candidates[i].HasFreeSlot()
 }
 
 func (l *link) candidateLocked(speed float64) runworks.Candidate {
@@ -57,6 +57,6 @@
 	}
 	return runworks.Candidate{
 		Server: l.server, Speed: speed, Slots: l.beat.Slots, Running: l.beat.Running, Waiting: l.beat.Waiting,
-		Own: l.granted + l.standing, SentSince: l.sentSince,
+		OwnLoad: l.granted + l.standing, SentSinceReport: l.sentSince,
 	}
 }
--- a/services/entry/keyed.go
+++ b/services/entry/keyed.go
@@ -81,7 +81,7 @@
 		}
 	case control.KeyTooOld:
 		return &runworks.Failure{
-			Err:     errorx.Decorate(runworks.ErrUnknownFate, "the key is older than what its home remembers"),
+			Err:     errorx.Decorate(runworks.ErrOutcomeUnknown, "the key is older than what its home remembers"),
 			Outcome: runworks.OutcomeUnknown, IdleAttempt: true,
 		}
 	}
@@ -92,7 +92,7 @@
 // an earlier call may have run.
 func idleAttempt(why string) error {
 	return &runworks.Failure{
-		Err:     errorx.Decorate(runworks.ErrUnknownFate, "%s", why),
+		Err:     errorx.Decorate(runworks.ErrOutcomeUnknown, "%s", why),
 		Outcome: runworks.OutcomeUnknown, RetryAfter: retryWhenAway, IdleAttempt: true,
 	}
 }
@@ -104,7 +104,7 @@
 	if now == nil {
 		return nil, idleAttempt("no configuration is in force yet")
 	}
-	server := now.Home(k.req.Service, k.req.Customer, k.req.Key)
+	server := now.Home(k.req.Service, k.req.Customer, k.req.IdempotencyKey)
 	reply, err := k.claimAt(ctx, server, now.Version)
 	if err == nil && reply.Verdict != control.KeyTooOld && reply.Verdict != control.KeyNotHome {
 		return reply, nil
@@ -133,7 +133,7 @@
 // message is the claim of the key for this request.
 func (k *keyed) message(version int64) control.KeyClaim {
 	return control.KeyClaim{
-		Service: k.req.Service, Customer: k.req.Customer, Key: k.req.Key,
+		Service: k.req.Service, Customer: k.req.Customer, Key: k.req.IdempotencyKey,
 		Digest: k.digest, ID: k.req.ID, Version: version,
 	}
 }
@@ -158,7 +158,7 @@
 func (k *keyed) bind(ctx context.Context, p *pending) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	b := control.KeyBind{Customer: k.req.Customer, Key: k.req.Key}
+	b := control.KeyBind{Customer: k.req.Customer, Key: k.req.IdempotencyKey}
 	b.Run = control.RunPlace{ID: p.id, Server: p.granted.server, Incarnation: p.granted.incarnation}
 	var reply control.KeyBindReply
 	err := k.home.conn.Call(ctx, control.MethodKeyBind, b, &reply)
@@ -173,7 +173,7 @@
 	if k.home == nil {
 		return false
 	}
-	end := control.KeyEnd{Customer: k.req.Customer, Key: k.req.Key, ID: k.req.ID, Run: run}
+	end := control.KeyEnd{Customer: k.req.Customer, Key: k.req.IdempotencyKey, ID: k.req.ID, Run: run}
 	var reply control.KeyEndReply
 	err := k.home.conn.Call(ctx, control.MethodKeyEnd, end, &reply)
 	return err == nil && reply.Ended
--- a/services/entry/members.go
+++ b/services/entry/members.go
@@ -55,7 +55,7 @@
 func liveEntries(hosts []runworks.Host) []string {
 	names := []string{}
 	for _, h := range hosts {
-		if h.Role == runworks.RoleEntry && !h.Leaving {
+		if h.Role == runworks.RoleEntry && !h.Draining {
 			names = append(names, h.Name)
 		}
 	}
@@ -76,9 +76,9 @@
 		e.members[h.Name] = m
 		e.work.Go(func() { e.connect(ctx, m) })
 	}
-	if h.Leaving != m.listedLeaving || m.gone {
+	if h.Draining != m.listedLeaving || m.gone {
 		m.gone = false
-		m.listedLeaving = h.Leaving
+		m.listedLeaving = h.Draining
 		e.recheckLocked()
 	}
 }
--- a/services/entry/place.go
+++ b/services/entry/place.go
@@ -181,7 +181,7 @@
 	delete(p.refused, l)
 	l.standing++
 	l.sentSince++
-	l.outbox.Place = append(l.outbox.Place, p.req.Ticket(now))
+	l.outbox.Place = append(l.outbox.Place, p.req.Reservation(now))
 	l.outbox.Place[len(l.outbox.Place)-1].ID = p.id
 	l.signal()
 }
--- a/services/entry/run.go
+++ b/services/entry/run.go
@@ -47,7 +47,7 @@
 func (e *Entry) run(ctx context.Context, p *pending) (*Answer, error) {
 	at := &runAt{entry: e, id: p.id, member: p.granted.member, incarnation: p.granted.incarnation, deadline: p.req.Deadline}
 	a := newAnswer(ctx, at, p.granted)
-	if p.req.Key != "" {
+	if p.req.IdempotencyKey != "" {
 		a.keep = true
 	}
 	err := a.send(p)
--- a/services/entry/serve.go
+++ b/services/entry/serve.go
@@ -37,7 +37,7 @@
 }
 
 func (e *Entry) answer(ctx context.Context, req *runworks.Request) (*Answer, error) {
-	if req.Key != "" {
+	if req.IdempotencyKey != "" {
 		return e.serveKeyed(ctx, req)
 	}
 	return e.serveFresh(ctx, req, nil)
@@ -112,7 +112,7 @@
 	if failure.Outcome == runworks.OutcomeNotRun {
 		return errors.Is(failure, runworks.ErrNotDispatched)
 	}
-	return req.Kind == runworks.KindPlain && req.Repeatable && req.Key == "" && e.retries.Spend()
+	return req.Kind == runworks.KindPlain && req.Repeatable && req.IdempotencyKey == "" && e.retries.Spend()
 }
 
 // countFailure counts a request that was given up on or failed.
--- a/services/forward/attempt.go
+++ b/services/forward/attempt.go
@@ -16,15 +16,15 @@
 // attempt sends the call to one backend server. After a failure the lease is
 // given back; the failure says whether the call may have run.
 func (c *call) attempt(ctx context.Context, lease *dispatch.Lease, lastEvent string) (*runworks.ServerReply, *runworks.Failure) {
-	c.tried = append(c.tried, lease.Instance.Life())
+	c.tried = append(c.tried, lease.Instance.IncarnationID())
 	c.sends++
 	var cancel context.CancelCauseFunc
 	c.sending, cancel = context.WithCancelCause(ctx)
 	lease.OnEnd(func() { cancel(errStartedAgain) })
 	spanCtx, span := c.f.Tracer.Start(c.sending, tracing.SpanBackend)
 	defer span.End()
-	send := &runworks.Send{Inbound: c.in, To: lease.Instance, Left: c.left(), LastEvent: lastEvent, Customer: c.customerName()}
-	send.Wanted = func() error { return c.wanted(lease) }
+	send := &runworks.Send{Inbound: c.in, To: lease.Instance, TimeLeft: c.left(), LastEventID: lastEvent, Customer: c.customerName()}
+	send.BeforeSend = func() error { return c.wanted(lease) }
 	metrics.Count(c.f.Metrics.Dispatches, metrics.Rank(c.rank))
 	c.sent = time.Now()
 	c.verdict.Draw.Spend(c.sent)
@@ -32,16 +32,16 @@
 	if err != nil {
 		return nil, c.unanswered(ctx, lease, err)
 	}
-	if reply.Gone {
+	if reply.AddressReused {
 		_ = reply.Body.Close()
 		lease.Release(dispatch.Moved)
-		return nil, c.notRun(errorx.Decorate(runworks.ErrTurnedAway, "another server has the address of %s", lease.Instance.ID))
+		return nil, c.notRun(errorx.Decorate(runworks.ErrRejected, "another server has the address of %s", lease.Instance.ID))
 	}
 	c.hear(lease, reply)
 	if reply.NotRun {
 		_ = reply.Body.Close()
 		lease.Release(dispatch.TurnedAway)
-		return nil, c.notRun(errorx.Decorate(runworks.ErrTurnedAway, "%s answered %d", lease.Instance.ID, reply.Status))
+		return nil, c.notRun(errorx.Decorate(runworks.ErrRejected, "%s answered %d", lease.Instance.ID, reply.Status))
 	}
 	c.ran++
 	lease.Responded()
@@ -55,7 +55,7 @@
 	case neverSent(err):
 		c.sends--
 		lease.Release(dispatch.Abandoned)
-	case errors.Is(err, runworks.ErrWithdrawn):
+	case errors.Is(err, runworks.ErrServerUnavailable):
 		c.sends--
 		c.tried = c.tried[:len(c.tried)-1]
 		lease.Release(dispatch.Abandoned)
@@ -73,11 +73,11 @@
 
 // hear takes what the server says of itself.
 func (c *call) hear(lease *dispatch.Lease, reply *runworks.ServerReply) {
-	if reply.WordErr != nil {
-		c.f.Logger.Warn("what a backend server says of itself can't be read, what was known of it stays", "server", lease.Instance.Life(),
-			"service", c.service, "request", c.in.ID, "error", reply.WordErr.Error())
+	if reply.ReportErr != nil {
+		c.f.Logger.Warn("what a backend server says of itself can't be read, what was known of it stays", "server", lease.Instance.IncarnationID(),
+			"service", c.service, "request", c.in.ID, "error", reply.ReportErr.Error())
 	}
-	lease.Hear(&reply.Word, c.sent)
+	lease.Hear(&reply.Report, c.sent)
 }
 
 // send sends the call. A server that stays silent loses a call that another may
@@ -106,19 +106,19 @@
 // server takes nothing more by now, another may have it.
 func (c *call) wanted(lease *dispatch.Lease) error {
 	switch {
-	case c.in.Left != nil && c.in.Left():
-		return runworks.ErrCallerLeft
+	case c.in.CallerDisconnected != nil && c.in.CallerDisconnected():
+		return runworks.ErrCallerDisconnected
 	case c.held(time.Now()) > 0:
 		return runworks.ErrQuarantined
 	case lease.Withdrawn():
-		return errorx.Decorate(runworks.ErrWithdrawn, "%s", lease.Instance.ID)
+		return errorx.Decorate(runworks.ErrServerUnavailable, "%s", lease.Instance.ID)
 	}
 	return c.late()
 }
 
 // neverSent says whether an attempt ended with one of the errors of wanted.
 func neverSent(err error) bool {
-	return errors.Is(err, runworks.ErrCallerLeft) || errors.Is(err, runworks.ErrQuarantined) || errors.Is(err, runworks.ErrTimeLimit)
+	return errors.Is(err, runworks.ErrCallerDisconnected) || errors.Is(err, runworks.ErrQuarantined) || errors.Is(err, runworks.ErrTimeLimit)
 }
 
 // endOf keeps a server's record clean of what the caller or the clock ended, but
@@ -162,7 +162,7 @@
 	if neverSent(failed) {
 		return false
 	}
-	if errors.Is(failed, runworks.ErrNotDispatched) || errors.Is(failed, runworks.ErrWithdrawn) {
+	if errors.Is(failed, runworks.ErrNotDispatched) || errors.Is(failed, runworks.ErrServerUnavailable) {
 		return true
 	}
 	if c.ran > 0 && (!c.repeatable() || c.ran >= c.route.MaxAttempts) {
--- a/services/forward/blame.go
+++ b/services/forward/blame.go
@@ -42,9 +42,9 @@
 		return
 	}
 	if fresh {
-		c.f.Quarantine.Broken(time.Now(), end.fingerprint, server.Life())
+		c.f.Quarantine.Broken(time.Now(), end.fingerprint, server.IncarnationID())
 	}
-	c.f.Sender.WatchEnd(ctx, server, end.note)
+	c.f.Sender.WatchExit(ctx, server, end.note)
 }
 
 // serverEnd is the end of a backend server under a call, as it was when the answer broke off.
@@ -60,10 +60,10 @@
 func (e *serverEnd) note() {
 	c := e.call
 	metrics.Count(c.f.Metrics.ServerEnds, metrics.Rank(c.rank))
-	c.f.Logger.Warn("backend server ended under a call", "server", e.server.Life(), "service", c.service, "request", c.in.ID,
+	c.f.Logger.Warn("backend server ended under a call", "server", e.server.IncarnationID(), "service", c.service, "request", c.in.ID,
 		"fingerprint", e.fingerprint, "customer", c.customerName(), "events", e.events, "fresh", e.fresh)
 	if e.fresh {
-		c.f.Quarantine.Blame(time.Now(), e.fingerprint, e.server.Life())
+		c.f.Quarantine.Blame(time.Now(), e.fingerprint, e.server.IncarnationID())
 	}
 }
 
--- a/services/forward/blame_test.go
+++ b/services/forward/blame_test.go
@@ -109,7 +109,7 @@
 		s := &sender{replies: []reply{good}}
 		f := holding(t, s)
 		in := &runworks.Inbound{ID: "1", Method: http.MethodPost, Host: "h", Path: "/once/x", Target: "/once/x", Received: time.Now()}
-		in.Left = func() bool {
+		in.CallerDisconnected = func() bool {
 			for _, server := range []string{"a", "b", "c"} {
 				f.Quarantine.Blame(time.Now(), in.Fingerprint(""), server)
 			}
@@ -186,7 +186,7 @@
 			change := f.Dispatcher.Replace(nil)
 			is.Equal(len(change.Gone), 3)
 			for _, one := range change.Gone {
-				f.Quarantine.Gone(time.Now(), one.Life())
+				f.Quarantine.Gone(time.Now(), one.IncarnationID())
 			}
 		}
 		startAnew(f, 3)
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -164,7 +164,7 @@
 	if c.f.Stopping.Load() && c.route.Kind == runworks.CallStream {
 		return runworks.NotRun(runworks.ErrStopping, retryTurnedAway)
 	}
-	if c.customer, err = c.table.Customer(c.route, c.in.Key); err != nil {
+	if c.customer, err = c.table.Customer(c.route, c.in.APIKey); err != nil {
 		return runworks.NotRun(err, 0)
 	}
 	c.rank = c.route.Rank
--- a/services/forward/forward_test.go
+++ b/services/forward/forward_test.go
@@ -40,7 +40,7 @@
 	// ended says that the server's process is gone afterwards.
 	ended bool
 	// word is what the server says of itself, and wordErr what of it can't be read.
-	word    runworks.ServerWord
+	word    runworks.ServerReport
 	wordErr error
 }
 
@@ -58,7 +58,7 @@
 	if s.connected != nil {
 		s.connected(send.To)
 	}
-	if err := send.Wanted(); err != nil {
+	if err := send.BeforeSend(); err != nil {
 		return nil, err
 	}
 	n := len(s.sends)
@@ -80,11 +80,11 @@
 	if status == 0 {
 		status = http.StatusOK
 	}
-	return &runworks.ServerReply{Reply: runworks.Reply{Status: status, Header: http.Header{}, Body: body}, NotRun: r.notRun, Gone: r.gone, Word: r.word, WordErr: r.wordErr}, nil
+	return &runworks.ServerReply{Reply: runworks.Reply{Status: status, Header: http.Header{}, Body: body}, NotRun: r.notRun, AddressReused: r.gone, Report: r.word, ReportErr: r.wordErr}, nil
 }
 
-// WatchEnd implements runworks.Sender for the server that was sent to last.
-func (s *sender) WatchEnd(_ context.Context, _ runworks.Instance, ended func()) {
+// WatchExit implements runworks.Sender for the server that was sent to last.
+func (s *sender) WatchExit(_ context.Context, _ runworks.Instance, ended func()) {
 	if s.replies[min(len(s.sends), len(s.replies))-1].ended {
 		ended()
 	}
@@ -259,7 +259,7 @@
 		_, _, err := serve(context.Background(), newForwarder(t, s, io.Discard), "once")
 		is.True(errors.Is(err, runworks.ErrTimeLimit))
 		is.Equal(time.Since(began), 5*time.Second)
-		is.Equal(s.sends[0].Left, 5*time.Second)
+		is.Equal(s.sends[0].TimeLeft, 5*time.Second)
 	})
 }
 
@@ -407,9 +407,9 @@
 		routing := testRouting()
 		routing.Customers = []runworks.RoutedCustomer{{Name: "yard", KeySHA256: []string{runworks.HashKey("k")}, TokensPerSecond: 10, TokenBurst: 20, TokensPerCall: 100}}
 		f.Table.Store(route.NewTable(routing))
-		in := runworks.Inbound{ID: "1", Host: "h", Path: "/once/x", Target: "/once/x", Key: "k", Received: time.Now()}
+		in := runworks.Inbound{ID: "1", Host: "h", Path: "/once/x", Target: "/once/x", APIKey: "k", Received: time.Now()}
 		_, err := f.Serve(context.Background(), &in)
-		is.True(errors.Is(err, runworks.ErrTurnedAway))
+		is.True(errors.Is(err, runworks.ErrRejected))
 		is.Equal(f.Quota.Used(time.Now())["yard"], 0.0)
 		s.replies = []reply{good}
 		again := in
@@ -432,7 +432,7 @@
 		routing := testRouting()
 		routing.Customers = []runworks.RoutedCustomer{{Name: "yard", KeySHA256: []string{runworks.HashKey("k")}, TokensPerSecond: 10, TokenBurst: 20, TokensPerCall: 100}}
 		f.Table.Store(route.NewTable(routing))
-		in := runworks.Inbound{ID: "1", Host: "h", Path: "/once/x", Target: "/once/x", Key: "k", Received: time.Now()}
+		in := runworks.Inbound{ID: "1", Host: "h", Path: "/once/x", Target: "/once/x", APIKey: "k", Received: time.Now()}
 		_, err := f.Serve(context.Background(), &in)
 		is.NoErr(err)
 		opens := f.Quota.Take(time.Now(), &routing.Customers[0], 100).Wait
@@ -511,9 +511,9 @@
 			s := &sender{replies: []reply{lost, good}}
 			f := newForwarder(t, s, io.Discard)
 			in := &runworks.Inbound{ID: "1", Method: http.MethodGet, Host: "h", Path: "/safe/x", Target: "/safe/x", Received: time.Now()}
-			in.Left = func() bool { return len(s.sends) == sends }
+			in.CallerDisconnected = func() bool { return len(s.sends) == sends }
 			_, err := f.Serve(t.Context(), in)
-			is.True(errors.Is(err, runworks.ErrCallerLeft))
+			is.True(errors.Is(err, runworks.ErrCallerDisconnected))
 			failure := failureOf(is, err)
 			is.Equal(failure.Outcome == runworks.OutcomeNotRun, sends == 0)
 			is.Equal(len(s.sends), sends)
@@ -534,7 +534,7 @@
 			s := &sender{replies: []reply{{hang: true}, good}}
 			f := newForwarder(t, s, io.Discard)
 			lives := func(born int64) []runworks.Instance {
-				return []runworks.Instance{{ID: "i", Born: born, Service: "app", Slots: 4}}
+				return []runworks.Instance{{ID: "i", Generation: born, Service: "app", Slots: 4}}
 			}
 			f.Dispatcher.Replace(lives(100))
 			began := time.Now()
@@ -544,7 +544,7 @@
 			if name != "once" {
 				is.NoErr(err)
 				is.Equal(text, "good")
-				is.Equal(s.sends[1].To.Born, int64(200)) // the new life had nothing of it
+				is.Equal(s.sends[1].To.Generation, int64(200)) // the new life had nothing of it
 				return
 			}
 			failure := failureOf(is, err)
--- a/services/forward/limit_test.go
+++ b/services/forward/limit_test.go
@@ -19,7 +19,7 @@
 // it was and is logged, and the answer of another server at its address says nothing of it.
 func TestServersLimit(t *testing.T) {
 	limit := runworks.RateLimit{Named: true, PerSecond: 2}
-	two := runworks.ServerWord{Limit: &limit}
+	two := runworks.ServerReport{Limit: &limit}
 	unreadable := errors.New("no number")
 	for _, c := range []struct {
 		name    string
--- a/services/forward/log.go
+++ b/services/forward/log.go
@@ -42,7 +42,7 @@
 			"longest_pause_ms", c.longestPause.Milliseconds())
 	}
 	if c.in.MaxTokens > 0 {
-		fields = append(fields, "prompt_tokens", c.in.PromptTokens, "max_tokens", c.in.MaxTokens, "expected_tokens", c.in.ExpectedTokens, "subject", c.in.Subject)
+		fields = append(fields, "prompt_tokens", c.in.PromptTokens, "max_tokens", c.in.MaxTokens, "expected_tokens", c.in.ExpectedTokens, "subject", c.in.PromptPrefix)
 	}
 	if err != nil {
 		fields = append(fields, "cause", err.Error())
--- a/services/forward/stream_test.go
+++ b/services/forward/stream_test.go
@@ -21,7 +21,7 @@
 		_, body, err := serve(context.Background(), newForwarder(t, s, io.Discard), "resumable")
 		is.NoErr(err)
 		is.Equal(body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
-		is.Equal(s.sends[1].LastEvent, "2")
+		is.Equal(s.sends[1].LastEventID, "2")
 		is.True(s.sends[0].To.ID != s.sends[1].To.ID)
 	})
 }
--- a/services/forward/suspend_test.go
+++ b/services/forward/suspend_test.go
@@ -37,7 +37,7 @@
 			_, err := f.Serve(context.Background(), in)
 			if one.left > 0 {
 				is.NoErr(err)
-				is.Equal(s.sends[0].Left, one.left)
+				is.Equal(s.sends[0].TimeLeft, one.left)
 				return
 			}
 			failure := failureOf(is, err)
--- a/services/forward/words_test.go
+++ b/services/forward/words_test.go
@@ -29,7 +29,7 @@
 			s.connected = func(server runworks.Instance) {
 				if all || left == 0 {
 					left++
-					f.Dispatcher.TakeWords("other", []runworks.ServerNotice{{Server: server.Life(), Leaving: true}})
+					f.Dispatcher.TakeWords("other", []runworks.ServerNotice{{Server: server.IncarnationID(), Draining: true}})
 				}
 			}
 			_, _, err := serve(context.Background(), f, "once")
@@ -40,7 +40,7 @@
 				return
 			}
 			is.Equal(len(s.sends), 0)
-			is.True(errors.Is(err, runworks.ErrNoServer) || errors.Is(err, runworks.ErrWithdrawn))
+			is.True(errors.Is(err, runworks.ErrNoServer) || errors.Is(err, runworks.ErrServerUnavailable))
 			failure := failureOf(is, err)
 			is.Equal(failure.Outcome, runworks.OutcomeNotRun)
 			is.True(failure.RetryAfter > 0)
@@ -49,7 +49,7 @@
 }
 
 // resting turns a call away and asks for rest.
-var resting = reply{status: 503, notRun: true, word: runworks.ServerWord{Rest: 10 * time.Second}}
+var resting = reply{status: 503, notRun: true, word: runworks.ServerReport{Backoff: 10 * time.Second}}
 
 // TestAllServersRest asks each server once, and then refuses calls at once, as not run; callers
 // are told when the first of them takes calls again, spread. Then they are served, and so is
@@ -64,15 +64,15 @@
 			_, _, err := serve(context.Background(), f, "stream")
 			failure := failureOf(is, err)
 			is.Equal(failure.Outcome, runworks.OutcomeNotRun)
-			is.True(failure.RetryAfter >= resting.word.Rest)
-			is.True(failure.RetryAfter < resting.word.Rest+time.Second)
+			is.True(failure.RetryAfter >= resting.word.Backoff)
+			is.True(failure.RetryAfter < resting.word.Backoff+time.Second)
 			is.Equal(len(s.sends), 3)
 			is.Equal(time.Since(began), time.Duration(0))
 		}
-		time.Sleep(resting.word.Rest - 2*time.Second)
+		time.Sleep(resting.word.Backoff - 2*time.Second)
 		_, _, err := serve(context.Background(), f, "stream")
 		is.NoErr(err)
-		is.True(time.Since(began) >= resting.word.Rest)
+		is.True(time.Since(began) >= resting.word.Backoff)
 	})
 }
 
@@ -83,7 +83,7 @@
 		is := is.New(t)
 		f := newForwarder(t, &sender{replies: []reply{resting}}, io.Discard)
 		_, _, err := serve(context.Background(), f, "stream")
-		is.True(errors.Is(err, runworks.ErrTurnedAway))
+		is.True(errors.Is(err, runworks.ErrRejected))
 		ends := f.Dispatcher.RestsFor("app")
 		const calls = 100
 		parts := [5]int{}
--- a/services/home/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package home decides, at one agent, about the idempotency keys whose home it
-// is: which request may run under a key, and where it runs or ran.
-package home
--- a/services/home/home.go
+++ b/services/idempotency/home.go
@@ -1,4 +1,4 @@
-package home
+package idempotency
 
 import (
 	"time"
--- a/services/peers/far_test.go
+++ b/services/peers/far_test.go
@@ -61,11 +61,11 @@
 		a := list["a"]
 		a.SetMembers([]Member{list["near"].Self, list["far"].Self})
 		time.Sleep(time.Second)
-		a.pretendMany(runworks.ManyEntries+12, "there")
+		a.pretendMany(runworks.ManyEntriesThreshold+12, "there")
 		time.Sleep(time.Second)
 		for n := 1; n <= 20; n++ {
 			mu.Lock()
-			news = runworks.LimitUse{Version: int64(n), Customers: map[string]runworks.CustomerUse{"c": {Drawn: float64(n)}, fmt.Sprint("c", n%3): {Drawn: float64(n)}}}
+			news = runworks.LimitUse{Version: int64(n), Customers: map[string]runworks.CustomerUse{"c": {Consumed: float64(n)}, fmt.Sprint("c", n%3): {Consumed: float64(n)}}}
 			mu.Unlock()
 			a.tell(n)
 			time.Sleep(DefaultEvery + 5*time.Millisecond)
--- a/services/peers/frame.go
+++ b/services/peers/frame.go
@@ -134,7 +134,7 @@
 	}
 	slices.SortFunc(f.Positions, func(a, b framePosition) int { return a.Subject - b.Subject })
 	e.load(f, &b.Load)
-	f.Limits = frameLimits{Version: b.Limits.Version, Records: b.Limits.Records, Complete: b.Limits.Complete, Customers: e.uses(b.Limits.Customers)}
+	f.Limits = frameLimits{Version: b.Limits.Version, Records: b.Limits.RecordsWritten, Complete: b.Limits.Complete, Customers: e.uses(b.Limits.Customers)}
 	f.Names = e.names[e.told:]
 	e.told = len(e.names)
 	return f
@@ -143,9 +143,9 @@
 // load puts what an entry runs, and what waits there, into a frame.
 func (e *encoder) load(f *frame, load *runworks.EntryLoad) {
 	f.Running = e.counts(load.Running)
-	f.Failed = e.counts(load.Failed)
-	f.Reading = e.counts(load.Reading)
-	for _, id := range load.LeftOut {
+	f.Failed = e.counts(load.ConsecutiveFailures)
+	f.Reading = e.counts(load.UnreadPromptTokens)
+	for _, id := range load.Ejected {
 		f.LeftOut = append(f.LeftOut, e.number(id))
 	}
 	for service, w := range load.Waiting {
@@ -157,7 +157,7 @@
 func (e *encoder) uses(list map[string]runworks.CustomerUse) []frameUse {
 	out := make([]frameUse, 0, len(list))
 	for customer, u := range list {
-		out = append(out, frameUse{Customer: e.number(customer), Drawn: u.Drawn, Used: u.Used, Held: u.Held})
+		out = append(out, frameUse{Customer: e.number(customer), Drawn: u.Consumed, Used: u.ConsumedInWindow, Held: u.Reserved})
 	}
 	slices.SortFunc(out, func(a, b frameUse) int { return a.Customer - b.Customer })
 	return out
@@ -230,10 +230,10 @@
 		b.Positions[Subject(r.name(p.Subject))] = runworks.Position{Era: p.Era, Offset: p.Offset}
 	}
 	r.load(&b.Load, f)
-	b.Limits = runworks.LimitUse{Version: f.Limits.Version, Records: f.Limits.Records, Complete: f.Limits.Complete}
+	b.Limits = runworks.LimitUse{Version: f.Limits.Version, RecordsWritten: f.Limits.Records, Complete: f.Limits.Complete}
 	b.Limits.Customers = make(map[string]runworks.CustomerUse, len(f.Limits.Customers))
 	for _, u := range f.Limits.Customers {
-		b.Limits.Customers[r.name(u.Customer)] = runworks.CustomerUse{Drawn: u.Drawn, Used: u.Used, Held: u.Held}
+		b.Limits.Customers[r.name(u.Customer)] = runworks.CustomerUse{Consumed: u.Drawn, ConsumedInWindow: u.Used, Reserved: u.Held}
 	}
 	if r.unknown {
 		return nil, errorx.IllegalFormat.New("a name that was not told, by %s", c.from.Name)
@@ -257,9 +257,9 @@
 
 // load takes what an entry runs, and what waits there, from a frame.
 func (r *namer) load(load *runworks.EntryLoad, f *frame) {
-	*load = runworks.EntryLoad{Running: r.counts(f.Running), Failed: r.counts(f.Failed), Reading: r.counts(f.Reading)}
+	*load = runworks.EntryLoad{Running: r.counts(f.Running), ConsecutiveFailures: r.counts(f.Failed), UnreadPromptTokens: r.counts(f.Reading)}
 	for _, n := range f.LeftOut {
-		load.LeftOut = append(load.LeftOut, r.name(n))
+		load.Ejected = append(load.Ejected, r.name(n))
 	}
 	load.Waiting = make(runworks.WaitingCalls, len(f.Waiting))
 	for _, w := range f.Waiting {
--- a/services/peers/frame_test.go
+++ b/services/peers/frame_test.go
@@ -21,13 +21,13 @@
 func wholeBeat() *Beat {
 	b := busyBeat()
 	b.RoutingVersion = 17
-	b.Load.Failed = map[string]int{"i-failed": 3}
-	b.Load.Reading = map[string]int{"i-reading": 5000}
-	b.Load.LeftOut = []string{"i-left-out", "i-failed"}
+	b.Load.ConsecutiveFailures = map[string]int{"i-failed": 3}
+	b.Load.UnreadPromptTokens = map[string]int{"i-reading": 5000}
+	b.Load.Ejected = []string{"i-left-out", "i-failed"}
 	b.StoreLost = true
 	b.Changes = []Change{{Subject: SubjectServers, From: runworks.Position{Era: 2, Offset: 3}, Next: runworks.Position{Era: 2, Offset: 5}, Records: []runworks.Record{{Key: "i-new", Value: []byte("{}")}, {Key: "i-gone", Value: []byte{}}}}}
-	b.Limits.Records, b.Limits.Complete = 4, true
-	b.Limits.Customers["fraction"] = runworks.CustomerUse{Drawn: 0.25, Used: 1e9, Held: -1}
+	b.Limits.RecordsWritten, b.Limits.Complete = 4, true
+	b.Limits.Customers["fraction"] = runworks.CustomerUse{Consumed: 0.25, ConsumedInWindow: 1e9, Reserved: -1}
 	return b
 }
 
--- a/services/peers/pace.go
+++ b/services/peers/pace.go
@@ -47,5 +47,5 @@
 // nearLocked says whether entries of a hall get every heartbeat: all do as long as there
 // are not many.
 func (x *Exchange) nearLocked(hall string) bool {
-	return hall == x.Self.Hall || len(x.heard) <= runworks.ManyEntries
+	return hall == x.Self.Hall || len(x.heard) <= runworks.ManyEntriesThreshold
 }
--- a/services/peers/peers_test.go
+++ b/services/peers/peers_test.go
@@ -108,7 +108,7 @@
 		e.changes = append(e.changes, b.Changes...)
 		e.beats++
 		for customer, u := range b.Limits.Customers {
-			e.limits[customer] = u.Drawn
+			e.limits[customer] = u.Consumed
 		}
 	}
 	if e.News == nil {
--- a/services/peers/scale_test.go
+++ b/services/peers/scale_test.go
@@ -58,13 +58,13 @@
 		Positions: map[Subject]runworks.Position{SubjectRouting: {Era: 1, Offset: 12}, SubjectServers: {Era: 1, Offset: 1234}},
 	}
 	b.Load = runworks.EntryLoad{Running: runworks.RunningCalls{}, Waiting: runworks.WaitingCalls{"llm": {Rank: 2, Calls: 14}}}
-	b.Load.Failed, b.Load.Reading = map[string]int{}, map[string]int{}
+	b.Load.ConsecutiveFailures, b.Load.UnreadPromptTokens = map[string]int{}, map[string]int{}
 	for i := range 12 {
 		b.Load.Running[fmt.Sprintf("i-71af67%04x", i)] = 1
 	}
 	b.Limits = runworks.LimitUse{Version: 1234, Customers: map[string]runworks.CustomerUse{}}
 	for i := range 20 {
-		b.Limits.Customers[fmt.Sprintf("customer-%d", i)] = runworks.CustomerUse{Drawn: 123456 + float64(i), Used: 23456, Held: 3456}
+		b.Limits.Customers[fmt.Sprintf("customer-%d", i)] = runworks.CustomerUse{Consumed: 123456 + float64(i), ConsumedInWindow: 23456, Reserved: 3456}
 	}
 	return b
 }
--- a/services/peers/server_words.go
+++ b/services/peers/server_words.go
@@ -40,7 +40,7 @@
 	}
 	now := time.Now()
 	older := x.wordNews[notice.Server]
-	x.wordNews[notice.Server] = wordNews{notice: notice.Over(older.notice.Aged(now.Sub(older.at))), at: now}
+	x.wordNews[notice.Server] = wordNews{notice: notice.Merge(older.notice.AgedBy(now.Sub(older.at))), at: now}
 	if !x.tellingWords {
 		ctx := x.ctxLocked()
 		x.tellingWords = x.work.Go(func() {
@@ -63,7 +63,7 @@
 	defer x.mu.Unlock()
 	var out []runworks.ServerNotice
 	for _, news := range x.wordNews {
-		out = append(out, news.notice.Aged(time.Since(news.at)))
+		out = append(out, news.notice.AgedBy(time.Since(news.at)))
 	}
 	slices.SortFunc(out, func(a, b runworks.ServerNotice) int { return strings.Compare(a.Server, b.Server) })
 	x.wordNews = nil
--- a/services/peers/server_words_test.go
+++ b/services/peers/server_words_test.go
@@ -34,15 +34,15 @@
 		for i := range 300 {
 			a.TellServerWord(serverLimit(fmt.Sprintf("s%03d", i), 1))
 			a.TellServerWord(serverLimit(fmt.Sprintf("s%03d", i), 2))
-			a.TellServerWord(runworks.ServerNotice{Server: fmt.Sprintf("s%03d", i), Leaving: i%2 == 1})
+			a.TellServerWord(runworks.ServerNotice{Server: fmt.Sprintf("s%03d", i), Draining: i%2 == 1})
 		}
 		time.Sleep(2 * wordsPause)
 		told := b.wordsOf()
 		is.Equal(len(told), 2)
 		is.Equal(len(told[1]), 300)
 		is.Equal(told[1][7].Limit.PerSecond, 2.0)
-		is.True(told[1][7].Leaving)
-		is.True(!told[1][8].Leaving)
+		is.True(told[1][7].Draining)
+		is.True(!told[1][8].Draining)
 		is.True(told[1][7].LimitAgeMs <= wordsPause.Milliseconds())
 		time.Sleep(time.Second)
 		a.TellServerWord(serverLimit("s", 3))
--- a/services/pick/pick.go
+++ b/services/pick/pick.go
@@ -21,7 +21,7 @@
 
 // before says whether a is the better guess than b.
 func before(a, b *runworks.Candidate) bool {
-	freeA, freeB := a.Free(), b.Free()
+	freeA, freeB := a.HasFreeSlot(), b.HasFreeSlot()
 	switch {
 	case freeA != freeB:
 		return freeA
@@ -35,6 +35,6 @@
 func (LeastWork) Spread() bool { return true }
 
 func work(c *runworks.Candidate) float64 {
-	n := max(c.Running+c.Waiting, c.Own)
+	n := max(c.Running+c.Waiting, c.OwnLoad)
 	return float64(n+1) / (c.Speed * float64(max(c.Slots, 1)))
 }
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -84,7 +84,7 @@
 		return
 	}
 	// Without its monotonic part, as others are told it.
-	news := runworks.Suspect{Fingerprint: f, Ends: []runworks.ServerEnd{{Server: server, At: now.Round(0)}}}
+	news := runworks.Suspect{Fingerprint: f, Exits: []runworks.ServerExit{{Server: server, At: now.Round(0)}}}
 	tell := q.addLocked(now, &news)
 	record := len(q.suspects[f].ends) >= recordFrom
 	q.mu.Unlock()
@@ -129,7 +129,7 @@
 // Lift forgets all ends under a request so far, here and at the others; it says whether
 // there were any.
 func (q *Quarantine) Lift(now time.Time, f runworks.Fingerprint) bool {
-	news := runworks.Suspect{Fingerprint: f, Cleared: now.Round(0)}
+	news := runworks.Suspect{Fingerprint: f, ClearedAt: now.Round(0)}
 	q.mu.Lock()
 	s := q.suspects[f]
 	if s == nil || len(s.ends) == 0 {
@@ -187,8 +187,8 @@
 	var out []runworks.Fingerprint
 	for _, s := range q.List(now) {
 		there := recorded.Get(s.Fingerprint)
-		ends := len(s.Ends) >= recordFrom && len(there.Ends) < len(s.Ends)
-		cleared := len(there.Ends) > 0 && s.Cleared.After(there.Cleared)
+		ends := len(s.Exits) >= recordFrom && len(there.Exits) < len(s.Exits)
+		cleared := len(there.Exits) > 0 && s.ClearedAt.After(there.ClearedAt)
 		if ends || cleared {
 			out = append(out, s.Fingerprint)
 		}
@@ -207,7 +207,7 @@
 func (q *Quarantine) Reports(now time.Time) []Report {
 	out := []Report{}
 	for _, s := range q.List(now) {
-		if len(s.Ends) > 0 {
+		if len(s.Exits) > 0 {
 			out = append(out, Report{Suspect: s, HeldMs: q.Held(now, s.Fingerprint).Milliseconds()})
 		}
 	}
@@ -216,8 +216,8 @@
 
 // Outdated says whether something told of a request no longer counts.
 func (q *Quarantine) Outdated(now time.Time, s *runworks.Suspect) bool {
-	last := s.Cleared
-	for _, e := range s.Ends {
+	last := s.ClearedAt
+	for _, e := range s.Exits {
 		last = later(last, e.At)
 	}
 	return now.Sub(last) > q.keep()
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -113,12 +113,12 @@
 	list := q.List(now)
 	is.Equal(len(list), maxSuspects)
 	is.True(q.Held(now, "held") > 0)
-	is.Equal(len(q.Get("0").Ends), 0)
-	is.Equal(len(q.Get(runworks.Fingerprint(fmt.Sprint(2*maxSuspects-1))).Ends), 1)
+	is.Equal(len(q.Get("0").Exits), 0)
+	is.Equal(len(q.Get(runworks.Fingerprint(fmt.Sprint(2*maxSuspects-1))).Exits), 1)
 	for i := range 2 * maxEnds {
 		q.Blame(start.Add(time.Duration(i)*time.Second), "held", fmt.Sprint("t", i))
 	}
-	ends := q.Get("held").Ends
+	ends := q.Get("held").Exits
 	is.Equal(len(ends), maxEnds)
 	is.Equal(ends[maxEnds-1].Server, fmt.Sprint("t", 2*maxEnds-1))
 	is.Equal(len(q.List(start.Add(3*time.Hour))), 0)
--- a/services/quarantine/suspect.go
+++ b/services/quarantine/suspect.go
@@ -74,8 +74,8 @@
 
 // add takes the ends and the clearing of a telling.
 func (s *suspect) add(now time.Time, news *runworks.Suspect) {
-	s.cleared = later(s.cleared, earlier(news.Cleared, now))
-	for _, e := range news.Ends[max(len(news.Ends)-maxEnds, 0):] {
+	s.cleared = later(s.cleared, earlier(news.ClearedAt, now))
+	for _, e := range news.Exits[max(len(news.Exits)-maxEnds, 0):] {
 		if _, known := s.ends[e.Server]; !known {
 			// A writer whose clock is ahead must not hold the request for longer.
 			s.ends[e.Server] = earlier(e.At, now)
@@ -97,18 +97,18 @@
 }
 
 // sortedEnds gives the ends, the oldest first.
-func (s *suspect) sortedEnds() []runworks.ServerEnd {
-	var out []runworks.ServerEnd
+func (s *suspect) sortedEnds() []runworks.ServerExit {
+	var out []runworks.ServerExit
 	for server, at := range s.ends {
-		out = append(out, runworks.ServerEnd{Server: server, At: at})
+		out = append(out, runworks.ServerExit{Server: server, At: at})
 	}
-	slices.SortFunc(out, func(a, b runworks.ServerEnd) int { return a.At.Compare(b.At) })
+	slices.SortFunc(out, func(a, b runworks.ServerExit) int { return a.At.Compare(b.At) })
 	return out
 }
 
 // tell gives what is known of a request, in the form that others are told.
 func (s *suspect) tell(f runworks.Fingerprint) runworks.Suspect {
-	return runworks.Suspect{Fingerprint: f, Ends: s.sortedEnds(), Cleared: s.cleared}
+	return runworks.Suspect{Fingerprint: f, Exits: s.sortedEnds(), ClearedAt: s.cleared}
 }
 
 func later(a, b time.Time) time.Time {
--- a/services/quota/life.go
+++ b/services/quota/life.go
@@ -50,7 +50,7 @@
 // draws says whether another entry's life may go on drawing; this entry's own is never
 // heard.
 func (l *life) draws(now time.Time) bool {
-	return !l.over && !l.heard.IsZero() && now.Sub(l.heard) <= runworks.ForgetEntryAfter
+	return !l.over && !l.heard.IsZero() && now.Sub(l.heard) <= runworks.EntryTimeout
 }
 
 // spendHeld counts as drawn what of the held tokens the life may have drawn unheard, and
@@ -83,9 +83,9 @@
 	for customer, told := range use.Customers {
 		known := l.accounts[customer] != nil
 		a := l.of(customer)
-		more := told.Used
+		more := told.ConsumedInWindow
 		if known {
-			more = min(told.Drawn-a.drawn, told.Used)
+			more = min(told.Consumed-a.drawn, told.ConsumedInWindow)
 		}
 		if more > 0 {
 			a.recent.add(number, more)
@@ -93,7 +93,7 @@
 		} else {
 			a.recent.remove(-more)
 		}
-		a.drawn, a.held = told.Drawn, told.Held
+		a.drawn, a.held = told.Consumed, told.Reserved
 	}
 	l.version = use.Version
 }
@@ -103,7 +103,7 @@
 	l.accounts = make(map[string]*account, len(use.Customers))
 	for customer, told := range use.Customers {
 		a := l.of(customer)
-		a.drawn, a.held = told.Drawn, told.Held
+		a.drawn, a.held = told.Consumed, told.Reserved
 		for _, r := range told.Recent {
 			a.recent.add(numberAt(time.Duration(r.AgeMs)*time.Millisecond), r.Tokens)
 		}
--- a/services/quota/quota_test.go
+++ b/services/quota/quota_test.go
@@ -39,7 +39,7 @@
 
 // told is what an entry tells of its use of the customer's limit.
 func told(version int64, drawn, used, held float64) runworks.LimitUse {
-	return runworks.LimitUse{Version: version, Customers: map[string]runworks.CustomerUse{"yard": {Drawn: drawn, Used: used, Held: held}}}
+	return runworks.LimitUse{Version: version, Customers: map[string]runworks.CustomerUse{"yard": {Consumed: drawn, ConsumedInWindow: used, Reserved: held}}}
 }
 
 // TestWindow lets through the rate times the window and the burst, once in any
--- a/services/quota/record.go
+++ b/services/quota/record.go
@@ -135,7 +135,7 @@
 	}
 	out := runworks.LimitRecord{At: now, Use: q.whole(now, all)}
 	if !q.completeLocked(now) {
-		out.Drawn = q.drawn(now, &out.Use)
+		out.Consumed = q.drawn(now, &out.Use)
 	}
 	return out
 }
@@ -203,7 +203,7 @@
 	l := q.of(recordLife)
 	q.replace(now, l, &r.Use)
 	l.spendHeld(q.number(now), recordSpan)
-	q.setOff.take(r.Drawn)
+	q.setOff.take(r.Consumed)
 	for id, known := range q.lives {
 		q.setOff.told(id, known, l)
 	}
--- a/services/quota/record_test.go
+++ b/services/quota/record_test.go
@@ -75,7 +75,7 @@
 	is.True(!b.RecordDue(later.Add(recordTurn / 2))) // it waits for the other one
 	record := a.Record(later)
 	a.Recorded(true)
-	is.Equal(record.Use.Customers["yard"].Used, 530.0)
+	is.Equal(record.Use.Customers["yard"].ConsumedInWindow, 530.0)
 	b.Report(later, "a", a.News(later))
 	is.True(!b.RecordDue(later.Add(time.Second)))
 }
--- a/services/quota/set_off_test.go
+++ b/services/quota/set_off_test.go
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	a := running("a")
 	send(a, begin, 500)
-	is.Equal(len(a.Record(begin).Drawn), 0)
+	is.Equal(len(a.Record(begin).Consumed), 0)
 }
 
 // TestRecordOfAnOldLife sets off only what the record counts of a life, not all that it drew
--- a/services/quota/tell.go
+++ b/services/quota/tell.go
@@ -61,7 +61,7 @@
 
 // head gives what is told of a life besides its customers.
 func (q *Quota) head(now time.Time, l *life) runworks.LimitUse {
-	out := runworks.LimitUse{Version: l.version, Records: l.records, Customers: make(map[string]runworks.CustomerUse)}
+	out := runworks.LimitUse{Version: l.version, RecordsWritten: l.records, Customers: make(map[string]runworks.CustomerUse)}
 	if l == q.own() {
 		out.Complete = q.completeLocked(now)
 	}
@@ -72,7 +72,7 @@
 func (q *Quota) tell(now time.Time, a *account) runworks.CustomerUse {
 	a.told, a.toldDrawn, a.toldHeld = now, a.drawn, a.held
 	a.recent.trim(q.oldest(now))
-	return runworks.CustomerUse{Drawn: a.drawn, Used: a.recent.sum(), Held: a.held}
+	return runworks.CustomerUse{Consumed: a.drawn, ConsumedInWindow: a.recent.sum(), Reserved: a.held}
 }
 
 // sweep forgets the lives of which nothing is left in the window.
@@ -87,7 +87,7 @@
 			l.spendHeld(q.number(now), silentSpan)
 		}
 		empty := l.sweep(oldest)
-		if empty && (l.over || now.Sub(l.heard) > runworks.ForgetEntryAfter) {
+		if empty && (l.over || now.Sub(l.heard) > runworks.EntryTimeout) {
 			delete(q.lives, id)
 		}
 	}
@@ -99,8 +99,8 @@
 	out := q.head(now, l)
 	for customer, a := range l.accounts {
 		a.recent.trim(oldest)
-		one := runworks.CustomerUse{Drawn: a.drawn, Used: a.recent.sum(), Held: a.held, Recent: q.recent(now, &a.recent)}
-		if one.Used > 0 || one.Held > 0 {
+		one := runworks.CustomerUse{Consumed: a.drawn, ConsumedInWindow: a.recent.sum(), Reserved: a.held, Recent: q.recent(now, &a.recent)}
+		if one.ConsumedInWindow > 0 || one.Reserved > 0 {
 			out.Customers[customer] = one
 		}
 	}
@@ -108,8 +108,8 @@
 }
 
 // recent gives the times of draws in steps, each as old as its newest.
-func (q *Quota) recent(now time.Time, u *usage) []runworks.RecentDraw {
-	var out []runworks.RecentDraw
+func (q *Quota) recent(now time.Time, u *usage) []runworks.RecentUse {
+	var out []runworks.RecentUse
 	for i := 0; i < len(u.counts); i += recentStep {
 		end := min(i+recentStep, len(u.counts))
 		tokens := 0.0
@@ -120,7 +120,7 @@
 			continue
 		}
 		at := q.epoch.Add(time.Duration(u.first+int64(end)-1) * grain)
-		out = append(out, runworks.RecentDraw{AgeMs: max(now.Sub(at), 0).Milliseconds(), Tokens: tokens})
+		out = append(out, runworks.RecentUse{AgeMs: max(now.Sub(at), 0).Milliseconds(), Tokens: tokens})
 	}
 	return out
 }
@@ -133,10 +133,10 @@
 }
 
 func (q *Quota) state(now time.Time) runworks.LimitState {
-	out := runworks.LimitState{Complete: q.completeLocked(now), Lives: make(map[runworks.Incarnation]runworks.LimitUse)}
+	out := runworks.LimitState{Complete: q.completeLocked(now), Incarnations: make(map[runworks.Incarnation]runworks.LimitUse)}
 	for id, l := range q.lives {
 		if use := q.whole(now, l); len(use.Customers) > 0 {
-			out.Lives[id] = use
+			out.Incarnations[id] = use
 		}
 	}
 	return out
@@ -148,8 +148,8 @@
 	defer q.mu.Unlock()
 	l := q.of(from)
 	l.heard, l.over = now, false
-	if use.Records > l.records {
-		l.records = use.Records
+	if use.RecordsWritten > l.records {
+		l.records = use.RecordsWritten
 		q.recorder.recorded(now)
 	}
 	if use.Version > l.version {
@@ -195,7 +195,7 @@
 
 // takeLives takes the use of each life that is told newer than it is known.
 func (q *Quota) takeLives(now time.Time, s *runworks.LimitState) {
-	for id, use := range s.Lives {
+	for id, use := range s.Incarnations {
 		if id == q.Self {
 			continue
 		}
@@ -211,7 +211,7 @@
 func (q *Quota) replace(now time.Time, l *life, use *runworks.LimitUse) {
 	q.number(now) // sets the epoch
 	l.replace(func(age time.Duration) int64 { return q.number(now.Add(-age)) }, use)
-	l.records = max(l.records, use.Records)
+	l.records = max(l.records, use.RecordsWritten)
 }
 
 // Forget counts a life of an entry as over: what it drew stays counted, and it draws
--- a/services/quota/tell_test.go
+++ b/services/quota/tell_test.go
@@ -50,7 +50,7 @@
 	is.Equal(v.Assumed, 200.0)
 	is.Equal(v.Used, 60.0)
 	is.Equal(v.Held, 1.0) // the call before
-	is.Equal(q.Take(begin.Add(runworks.ForgetEntryAfter+time.Second), customer(), 1).Assumed, 0.0)
+	is.Equal(q.Take(begin.Add(runworks.EntryTimeout+time.Second), customer(), 1).Assumed, 0.0)
 }
 
 // TestNewLife assumes nothing more of an entry's life that is over: a new one of the
@@ -119,7 +119,7 @@
 func TestNews(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
-	news := func(now time.Time) float64 { return q.News(now).Customers["yard"].Drawn }
+	news := func(now time.Time) float64 { return q.News(now).Customers["yard"].Consumed }
 	send(q, begin, 10)
 	is.Equal(news(begin), 10.0) // nothing was told for long
 	send(q, begin, 10)
@@ -135,11 +135,11 @@
 	send(q, begin, 1)
 	is.Equal(news(begin), 941.0)
 	v := q.Take(begin, customer(), 1)
-	is.Equal(q.News(begin).Customers["yard"].Held, 1.0)
+	is.Equal(q.News(begin).Customers["yard"].Reserved, 1.0)
 	v.Draw.Return()
 	use, told := q.News(begin).Customers["yard"]
 	is.True(told) // that nothing is held any more
-	is.Equal(use.Held, 0.0)
+	is.Equal(use.Reserved, 0.0)
 }
 
 // TestStartedTogetherAskNobody lets a new entry ask the others for what they counted, but
--- a/services/ticket/fair.go
+++ b/services/reservation/fair.go
@@ -1,4 +1,4 @@
-package ticket
+package reservation
 
 import "container/heap"
 
--- a/services/ticket/queue.go
+++ b/services/reservation/queue.go
@@ -1,4 +1,4 @@
-package ticket
+package reservation
 
 import (
 	"sort"
@@ -12,7 +12,7 @@
 
 // Waiting is a ticket that waits, with who placed it and when it lapses.
 type Waiting struct {
-	runworks.Ticket
+	runworks.Reservation
 	// Source is the entry that placed the ticket.
 	Source Source
 	// Deadline is the end of the request's time limit on the agent's clock.
--- a/services/ticket/queue_test.go
+++ b/services/reservation/queue_test.go
@@ -1,4 +1,4 @@
-package ticket
+package reservation
 
 import (
 	"flag"
@@ -20,8 +20,8 @@
 
 func waiting(id string, tier int, customer string) *Waiting {
 	return &Waiting{
-		Ticket:   runworks.Ticket{ID: runworks.RequestID(id), Tier: tier, Customer: customer, MaxTokens: 10},
-		Deadline: start.Add(time.Hour),
+		Reservation: runworks.Reservation{ID: runworks.RequestID(id), Tier: tier, Customer: customer, MaxTokens: 10},
+		Deadline:    start.Add(time.Hour),
 	}
 }
 
--- a/tests/measure_test.go
+++ b/tests/measure_test.go
@@ -66,7 +66,7 @@
 }
 
 func withOwn(c *runworks.Candidate) float64 {
-	return float64(c.Running+c.Waiting+c.SentSince+1) / (c.Speed * float64(max(c.Slots, 1)))
+	return float64(c.Running+c.Waiting+c.SentSinceReport+1) / (c.Speed * float64(max(c.Slots, 1)))
 }
 
 func least(random *rand.Rand, c []runworks.Candidate, load func(*runworks.Candidate) float64) int {
--- a/tests/platform_crash_test.go
+++ b/tests/platform_crash_test.go
@@ -224,7 +224,7 @@
 	n := 0
 	if getJSON("http://"+front.address("operators")+"/status", &status) {
 		for _, s := range status.Suspects {
-			n += len(s.Ends)
+			n += len(s.Exits)
 		}
 	}
 	return n
@@ -250,7 +250,7 @@
 		if err := json.Unmarshal(item.Value, &s); err != nil {
 			p.t.Fatal(err)
 		}
-		for _, e := range s.Ends {
+		for _, e := range s.Exits {
 			ends[e.Server] = true
 		}
 	}
--- a/tests/stop_test.go
+++ b/tests/stop_test.go
@@ -140,7 +140,7 @@
 		calls := newSteadyCalls(w, "entry-1", "entry-2")
 		time.Sleep(3 * time.Second)
 		is.True(len(w.engines["e3"].Stats().Dispatches) > 20) // it had work until now
-		w.hosts.Put(runworks.Host{Name: "host-e3", Role: runworks.RoleAgent, Hall: "a", Address: "host-e3:70", Leaving: true})
+		w.hosts.Put(runworks.Host{Name: "host-e3", Role: runworks.RoleAgent, Hall: "a", Address: "host-e3:70", Draining: true})
 		time.Sleep(leaveWithin)
 		before := len(w.engines["e3"].Stats().Dispatches)
 		time.Sleep(20 * time.Second)
