--- a/daemon/front.go
+++ b/daemon/front.go
@@ -163,9 +163,9 @@
 	dial := tcp.Options{Silence: s.Silence}.Dial
 	self := peers.Member{Name: s.Name, Address: address, Hall: s.Hall, Incarnation: runworks.NewIncarnation()}
 	d.dispatcher = &dispatch.Dispatcher{
-		Self: self.Incarnation, Hall: s.Hall, OnSuspend: d.onSuspend, OnSilent: d.onSilent, OnDoubt: d.onDoubt, OnLimit: d.onLimit, OnWant: d.onWant,
-		OnLeaving: d.onLeaving, OnRest: d.onRest,
-		TellWord: func(notice runworks.ServerNotice) { d.exchange.TellServerWord(notice) },
+		Self: self.Incarnation, Hall: s.Hall, OnEject: d.onSuspend, OnUnresponsive: d.onSilent, OnPeerEject: d.onDoubt, OnRateLimit: d.onLimit, RequestPermits: d.onWant,
+		OnDraining: d.onLeaving, OnBackoff: d.onRest,
+		SendServerNotice: func(notice runworks.ServerNotice) { d.exchange.TellServerWord(notice) },
 	}
 	d.quota = &quota.Quota{Self: self.Incarnation, Window: s.QuotaWindow, Started: time.Now()}
 	d.budgets = &forward.Budgets{Ratio: s.RetryRatio, Slack: s.RetrySlack, Started: time.Now(), Window: s.RetryWindow}
--- a/services/dispatch/borrow.go
+++ b/services/dispatch/borrow.go
@@ -93,7 +93,7 @@
 	if of == nil {
 		return
 	}
-	b := &of.borrowing
+	b := &of.permitRequests
 	b.asking = false
 	s := d.servers[loan.Server]
 	if requests <= 0 || s == nil {
@@ -111,7 +111,7 @@
 // borrowLocked asks another entry for requests at hand, if calls of a service wait that a
 // limit alone keeps from a server.
 func (d *Dispatcher) borrowLocked(now time.Time, of *service) {
-	b := &of.borrowing
+	b := &of.permitRequests
 	if b.asking || !b.open(now) || of.queue.Len() == 0 {
 		return
 	}
@@ -131,14 +131,16 @@
 		return
 	}
 	b.asking = true
-	d.OnWant(&Loan{Server: s.life, Lender: lender, Requests: min(of.queue.Len(), s.Slots), service: of.name})
+	d.RequestPermits(&Loan{Server: s.life, Lender: lender, Requests: min(of.queue.Len(), s.Slots), service: of.name})
 }
 
 // lender gives another entry that has a part of a server's limit and was heard just now; none
 // if there is none.
 func (d *Dispatcher) lender(s *server) runworks.Incarnation {
 	all := append(d.others(), d.Self)
-	slices.SortFunc(all, func(a, b runworks.Incarnation) int { return cmp.Compare(draw(s.life, b), draw(s.life, a)) })
+	slices.SortFunc(all, func(a, b runworks.Incarnation) int {
+		return cmp.Compare(rendezvousHash(s.life, b), rendezvousHash(s.life, a))
+	})
 	owners := all[:serverlimit.Owners(s.limit.PerSecond(), len(all))]
 	owners = slices.DeleteFunc(owners, func(id runworks.Incarnation) bool {
 		_, heard := d.peers[id]
--- a/services/dispatch/choose.go
+++ b/services/dispatch/choose.go
@@ -62,7 +62,7 @@
 
 // soon is within how many seconds a slot has to become free to count as free now.
 func (s *service) soon() float64 {
-	return max(freeSoon, time.Duration(s.entries)*freeSoonPerPeer).Seconds()
+	return max(freeSoon, time.Duration(s.peers)*freeSoonPerPeer).Seconds()
 }
 
 // outpaced says whether calls are over before the other entries hear of them.
@@ -81,7 +81,7 @@
 	if isLate(tier) {
 		n = keptFromLate
 	}
-	if s.highest != s.lowest && routeRank(tier) >= s.lowest && s.lastingLowest() {
+	if s.highestRank != s.lowestRank && routeRank(tier) >= s.lowestRank && s.lastingLowest() {
 		n = max(n, reservedSlots)
 	}
 	return n
@@ -94,11 +94,11 @@
 
 // noteRank records a route's rank.
 func (s *service) noteRank(routeRank int) {
-	if !s.ranked {
-		s.highest, s.lowest, s.ranked = routeRank, routeRank, true
+	if !s.anyRank {
+		s.highestRank, s.lowestRank, s.anyRank = routeRank, routeRank, true
 	}
-	s.highest = min(s.highest, routeRank)
-	s.lowest = max(s.lowest, routeRank)
+	s.highestRank = min(s.highestRank, routeRank)
+	s.lowestRank = max(s.lowestRank, routeRank)
 }
 
 // anyFor says whether one of the open servers has a slot for a tier.
@@ -131,7 +131,7 @@
 	fitting := !w.late && w.fits || s.fitsAny(now, o, ask, canWait)
 	var out []*server
 	for _, one := range open {
-		if slices.Contains(ask.Avoid, one.life) || s.free(one, tier) <= 0 {
+		if slices.Contains(ask.Exclude, one.life) || s.free(one, tier) <= 0 {
 			continue
 		}
 		if float64(one.pace) > fastest*paceTolerance && s.expected(one, ask) > left {
@@ -147,7 +147,7 @@
 
 // expected is how many seconds a server needs for a stream's events, with a
 // margin, as the caller's guess is often short; 0 if that is not known.
-func (s *service) expected(one *server, ask *Ask) float64 {
+func (s *service) expected(one *server, ask *Request) float64 {
 	return lengthMargin * s.events(ask) * float64(one.pace)
 }
 
@@ -158,7 +158,7 @@
 	if s.pace > 0 && typical > 0 {
 		score *= float64(s.pace) / typical
 	}
-	score *= 1 + taste*draw(s.ID, d.Self)
+	score *= 1 + taste*rendezvousHash(s.ID, d.Self)
 	switch {
 	case s.Hall == d.Hall:
 	case len(d.peers) > runworks.ManyEntriesThreshold:
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -21,8 +21,8 @@
 	maxPassed = 32
 )
 
-// Ask is a call that wants a backend server.
-type Ask struct {
+// Request is a call that wants a backend server.
+type Request struct {
 	ID      runworks.RequestID
 	Service string
 	// Rank is the customer's, or else the route's; RouteRank decides between calls
@@ -37,19 +37,19 @@
 	ExpectedTokens int
 	// Resumed says that the call goes on with an answer that broke off.
 	Resumed bool
-	// Ran says that it ran at a server, which failed it.
-	Ran bool
-	// MaxPause is the longest pause between events that keeps an answer in time; 0 if none.
-	MaxPause time.Duration
+	// Retry says that it ran at a server, which failed it.
+	Retry bool
+	// MaxGap is the longest pause between events that keeps an answer in time; 0 if none.
+	MaxGap time.Duration
 	// Target is when the answer, or the first event, is expected.
 	Target time.Time
-	// Patience is when a caller leaves who saw nothing of the answer; zero is the
+	// CallerTimeout is when a caller leaves who saw nothing of the answer; zero is the
 	// deadline.
-	Patience time.Time
+	CallerTimeout time.Time
 	// Deadline is when the call is given up.
 	Deadline time.Time
-	// Avoid are the lives of the servers that had the call already.
-	Avoid []string
+	// Exclude are the lives of the servers that had the call already.
+	Exclude []string
 }
 
 // Dispatcher places the calls of one entry; set the exported fields before use.
@@ -60,28 +60,28 @@
 	Self runworks.Incarnation
 	// MaxWaiting is DefaultMaxWaiting if zero.
 	MaxWaiting int
-	// OnSuspend is told of a server that is left out, after how many failures in a
+	// OnEject is told of a server that is left out, after how many failures in a
 	// row and for how long; nil tells nobody. It must not wait.
-	OnSuspend func(server runworks.Instance, failures int, wait time.Duration)
-	// OnSilent is told of a server that gives nothing to the calls it has, or that it
+	OnEject func(server runworks.Instance, failures int, wait time.Duration)
+	// OnUnresponsive is told of a server that gives nothing to the calls it has, or that it
 	// was heard again; nil tells nobody. It must not wait.
-	OnSilent func(server runworks.Instance, silent bool)
-	// OnDoubt is told how many other entries leave a server out, when the first does
+	OnUnresponsive func(server runworks.Instance, silent bool)
+	// OnPeerEject is told how many other entries leave a server out, when the first does
 	// and when none does any more; nil tells nobody. It must not wait.
-	OnDoubt func(server runworks.Instance, entries int)
-	// OnLeaving is told of a server that says that it leaves, from names the entry that told of
+	OnPeerEject func(server runworks.Instance, entries int)
+	// OnDraining is told of a server that says that it leaves, from names the entry that told of
 	// it and is empty for the server itself; OnRest of one that wants nothing from this entry
 	// for a time. Nil tells nobody. They must not wait.
-	OnLeaving func(server runworks.Instance, from string)
-	OnRest    func(server runworks.Instance, lasts time.Duration)
-	// OnLimit is told what changed of a server's limit; nil tells nobody. It must not wait.
-	OnLimit func(server runworks.Instance, change LimitChange)
-	// TellWord is told what the other entries are to be told of a server's words; nil tells
+	OnDraining func(server runworks.Instance, from string)
+	OnBackoff  func(server runworks.Instance, lasts time.Duration)
+	// OnRateLimit is told what changed of a server's limit; nil tells nobody. It must not wait.
+	OnRateLimit func(server runworks.Instance, change LimitChange)
+	// SendServerNotice is told what the other entries are to be told of a server's words; nil tells
 	// nobody. It must not wait.
-	TellWord func(notice runworks.ServerNotice)
-	// OnWant is told what another entry is to be asked for, whose answer goes to Borrowed; nil
+	SendServerNotice func(notice runworks.ServerNotice)
+	// RequestPermits is told what another entry is to be asked for, whose answer goes to Borrowed; nil
 	// asks nobody. It must not wait.
-	OnWant func(loan *Loan)
+	RequestPermits func(loan *Loan)
 
 	mu sync.Mutex
 	// servers holds the servers by their lives, and newest by their ids.
@@ -89,12 +89,12 @@
 	newest   map[string]*server
 	services map[string]*service
 	peers    map[runworks.Incarnation]runworks.EntryLoad
-	// absent are since when other entries are silent that do not count as gone yet.
-	absent map[runworks.Incarnation]time.Time
-	// early are words of servers that are not known yet.
-	early map[string]earlyWord
-	// lapsed are words of servers whose records went of late.
-	lapsed map[string]lapsedWords
+	// unreachable are since when other entries are silent that do not count as gone yet.
+	unreachable map[runworks.Incarnation]time.Time
+	// pendingNotices are words of servers that are not known yet.
+	pendingNotices map[string]earlyWord
+	// expiredReports are words of servers whose records went of late.
+	expiredReports map[string]lapsedWords
 }
 
 // service holds the backend servers of a service and the calls that wait.
@@ -102,40 +102,40 @@
 	name    string
 	servers []*server
 	queue   reservation.Queue
-	asks    map[runworks.RequestID]*waiter
-	// entries is how many other entries are heard.
-	entries int
-	// came is how many calls came.
-	came int
-	// highest and lowest are the bounds of the routes' ranks that were seen: 0 is
-	// the highest rank there is.
-	highest, lowest int
-	ranked          bool
-	// records tell of the routes' ranks.
-	records map[int]*rankRecord
-	// shares are the parts of the starts that the tiers get while their calls wait.
-	shares map[int]float64
+	waiters map[runworks.RequestID]*waiter
+	// peers is how many other peers are heard.
+	peers int
+	// arrivals is how many calls arrivals.
+	arrivals int
+	// highestRank and lowestRank are the bounds of the routes' ranks that were seen: 0 is
+	// the highestRank rank there is.
+	highestRank, lowestRank int
+	anyRank                 bool
+	// rankStats tell of the routes' ranks.
+	rankStats map[int]*rankRecord
+	// startShares are the parts of the starts that the tiers get while their calls wait.
+	startShares map[int]float64
 	// duration is how long a call has its slot on average, in seconds; 0 is not known.
 	duration average
 	// served is how many answers went into it.
 	served int
-	// response is the mean time from a call's start to the head of its answer, in
+	// responseTime is the mean time from a call's start to the head of its answer, in
 	// seconds; 0 is not known.
-	response average
+	responseTime average
 	// readings tell how long the fastest server takes to the first event.
 	readings readings
-	// maxPause is the shortest of the longest pauses that callers allow; 0 is not known.
-	maxPause time.Duration
-	// perEvent is how many of the tokens that callers expect an event stands for,
+	// maxGap is the shortest of the longest pauses that callers allow; 0 is not known.
+	maxGap time.Duration
+	// tokensPerEvent is how many of the tokens that callers expect an event stands for,
 	// on average; 0 is not known.
-	perEvent  average
-	borrowing borrowing
+	tokensPerEvent average
+	permitRequests borrowing
 }
 
 // Acquire waits until a backend server is free for the call. The errors are
 // ErrNoServer if none is known, ErrShortage if too many wait, ErrTimeLimit at
 // the call's deadline, and the cause of ctx.
-func (d *Dispatcher) Acquire(ctx context.Context, ask *Ask) (*Lease, error) {
+func (d *Dispatcher) Acquire(ctx context.Context, ask *Request) (*Lease, error) {
 	w, lease, err := d.enter(ask)
 	if lease != nil || err != nil {
 		return lease, err
@@ -161,7 +161,7 @@
 }
 
 // enter takes a free slot at once, or puts the call among those that wait.
-func (d *Dispatcher) enter(ask *Ask) (*waiter, *Lease, error) {
+func (d *Dispatcher) enter(ask *Request) (*waiter, *Lease, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.services[ask.Service]
@@ -169,8 +169,8 @@
 	if s == nil || !s.any(now, ask) {
 		return nil, nil, runworks.ErrNoServer
 	}
-	s.came++
-	w := &waiter{ask: ask, lease: make(chan *Lease, 1), number: s.came}
+	s.arrivals++
+	w := &waiter{ask: ask, lease: make(chan *Lease, 1), number: s.arrivals}
 	w.fits = s.fitsAny(now, s.outlook(), ask, s.canWait(now, ask))
 	if err := s.judge(now, w); err != nil {
 		return nil, nil, err
@@ -232,8 +232,8 @@
 		if t == nil {
 			break
 		}
-		w := s.asks[t.ID]
-		delete(s.asks, t.ID)
+		w := s.waiters[t.ID]
+		delete(s.waiters, t.ID)
 		to := d.choose(now, s, open, w)
 		if to == nil {
 			passed = append(passed, w)
@@ -256,9 +256,9 @@
 // any says whether a backend server is known that the call may go to. One that a server
 // failed does not wait for what the limit of another gives, or its rest leaves: it has an
 // answer, and the slot is of more use to a call that has none. A stream that goes on does wait.
-func (s *service) any(now time.Time, ask *Ask) bool {
+func (s *service) any(now time.Time, ask *Request) bool {
 	for _, one := range s.servers {
-		if !one.Draining && !slices.Contains(ask.Avoid, one.life) && (!ask.Ran || ask.Resumed || !one.withheld(now)) {
+		if !one.Draining && !slices.Contains(ask.Exclude, one.life) && (!ask.Retry || ask.Resumed || !one.withheld(now)) {
 			return true
 		}
 	}
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -32,16 +32,16 @@
 // runs is the load of an entry at which nothing waits.
 func runs(calls runworks.RunningCalls) runworks.EntryLoad { return runworks.EntryLoad{Running: calls} }
 
-func ask(id string, routeRank int) *Ask {
+func ask(id string, routeRank int) *Request {
 	now := time.Now()
-	return &Ask{
+	return &Request{
 		ID: runworks.RequestID(id), Service: "llm", RouteRank: routeRank,
 		Target: now.Add(time.Second), Deadline: now.Add(10 * time.Second),
 	}
 }
 
 // acquired waits in the background for a server.
-func acquired(d *Dispatcher, a *Ask) <-chan *Lease {
+func acquired(d *Dispatcher, a *Request) <-chan *Lease {
 	out := make(chan *Lease, 1)
 	go func() {
 		lease, err := d.Acquire(context.Background(), a)
@@ -154,11 +154,11 @@
 		is := is.New(t)
 		d := newDispatcher(4, 4)
 		a := ask("again", 0)
-		a.Avoid = []string{"s0"}
+		a.Exclude = []string{"s0"}
 		lease := <-acquired(d, a)
 		is.Equal(lease.Instance.ID, "s1")
 		lease.Release(Served)
-		a.Avoid = []string{"s0", "s1"}
+		a.Exclude = []string{"s0", "s1"}
 		_, err := d.Acquire(context.Background(), a)
 		is.True(errors.Is(err, runworks.ErrNoServer))
 	})
@@ -235,7 +235,7 @@
 		d := newDispatcher(1)
 		<-acquired(d, ask("runs", 0))
 		a := ask("waits", 0)
-		a.Patience = time.Now().Add(3 * time.Second)
+		a.CallerTimeout = time.Now().Add(3 * time.Second)
 		began := time.Now()
 		_, err := d.Acquire(context.Background(), a)
 		is.True(errors.Is(err, runworks.ErrTimeLimit))
@@ -343,10 +343,10 @@
 		d := newDispatcher(2, 2)
 		for i, gap := range []time.Duration{15 * time.Millisecond, 45 * time.Millisecond} {
 			a := ask(fmt.Sprint("learn", i), 0)
-			a.Avoid = []string{fmt.Sprint("s", 1-i)}
+			a.Exclude = []string{fmt.Sprint("s", 1-i)}
 			lease := <-acquired(d, a)
-			lease.Pace(gap)
-			lease.Length(300, 100)
+			lease.RecordEventGap(gap)
+			lease.RecordLength(300, 100)
 			lease.Release(Served)
 		}
 		d.Report("other", runs(runworks.RunningCalls{"s0": 2}))
@@ -389,8 +389,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1)
 		first := <-acquired(d, ask("first", 0))
-		first.Length(60, 10)
-		first.Pace(50 * time.Millisecond)
+		first.RecordLength(60, 10)
+		first.RecordEventGap(50 * time.Millisecond)
 		long := ask("long", 0)
 		long.ExpectedTokens = 1200
 		waits := acquired(d, long)
--- a/services/dispatch/fleet.go
+++ b/services/dispatch/fleet.go
@@ -102,8 +102,8 @@
 		maxWaiting = DefaultMaxWaiting
 	}
 	return &service{
-		name: name, asks: make(map[runworks.RequestID]*waiter),
-		queue: reservation.Queue{MaxWaiting: maxWaiting}, borrowing: borrowing{on: d.OnWant != nil},
+		name: name, waiters: make(map[runworks.RequestID]*waiter),
+		queue: reservation.Queue{MaxWaiting: maxWaiting}, permitRequests: borrowing{on: d.RequestPermits != nil},
 	}
 }
 
@@ -122,7 +122,7 @@
 		if s.own > 0 {
 			out.Running[life] = s.own
 		}
-		if s.reading >= minReadingTold {
+		if s.reading >= minUnreadReported {
 			out.UnreadPromptTokens[life] = s.reading
 		}
 		if s.failed > 0 {
@@ -150,7 +150,7 @@
 	old, known := d.peers[from]
 	d.peers[from] = load
 	if !known {
-		delete(d.absent, from)
+		delete(d.unreachable, from)
 		d.partLimitsLocked(time.Now())
 	}
 	d.exchangeLocked(&old, &load)
@@ -160,7 +160,7 @@
 func (d *Dispatcher) Forget(from runworks.Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.absent, from)
+	delete(d.unreachable, from)
 	d.dropLocked(from)
 	d.partLimitsLocked(time.Now())
 }
@@ -170,10 +170,10 @@
 func (d *Dispatcher) Lose(from runworks.Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.absent == nil {
-		d.absent = make(map[runworks.Incarnation]time.Time)
+	if d.unreachable == nil {
+		d.unreachable = make(map[runworks.Incarnation]time.Time)
 	}
-	d.absent[from] = time.Now()
+	d.unreachable[from] = time.Now()
 	d.dropLocked(from)
 }
 
@@ -196,7 +196,7 @@
 		}
 	}
 	for _, s := range d.services {
-		s.entries = len(d.peers)
+		s.peers = len(d.peers)
 		if len(old.ConsecutiveFailures)+len(load.ConsecutiveFailures) > 0 {
 			d.judgeLocked(now, s)
 		}
@@ -219,7 +219,7 @@
 		d.noteDoubtsLocked(now, s)
 	}
 	for _, s := range d.services {
-		s.entries = len(d.peers)
+		s.peers = len(d.peers)
 		d.judgeLocked(now, s)
 		d.pumpLocked(s)
 	}
--- a/services/dispatch/health.go
+++ b/services/dispatch/health.go
@@ -49,7 +49,7 @@
 	}
 	limit := silence
 	if of != nil {
-		limit = max(limit, time.Duration(silentResponses*float64(of.response)*float64(time.Second)))
+		limit = max(limit, time.Duration(silentResponses*float64(of.responseTime)*float64(time.Second)))
 	}
 	return now.Sub(last) > limit
 }
@@ -58,8 +58,8 @@
 func (d *Dispatcher) watchSilenceLocked(now time.Time) {
 	for _, one := range d.servers {
 		silent := one.silent(now, d.services[one.Service])
-		if silent != one.wasSilent && d.OnSilent != nil {
-			d.OnSilent(one.Instance, silent)
+		if silent != one.wasSilent && d.OnUnresponsive != nil {
+			d.OnUnresponsive(one.Instance, silent)
 		}
 		one.wasSilent = silent
 	}
@@ -76,8 +76,8 @@
 		s.doubted = now
 		s.failures = max(s.failures, failuresToSuspend-1)
 	}
-	if s.doubted != before && d.OnDoubt != nil {
-		d.OnDoubt(s.Instance, s.doubts)
+	if s.doubted != before && d.OnPeerEject != nil {
+		d.OnPeerEject(s.Instance, s.doubts)
 	}
 }
 
@@ -98,8 +98,8 @@
 		}
 		one.failed = 0
 		one.suspended = now.Add(failedSuspension)
-		if d.OnSuspend != nil {
-			d.OnSuspend(one.Instance, failed, failedSuspension)
+		if d.OnEject != nil {
+			d.OnEject(one.Instance, failed, failedSuspension)
 		}
 	}
 }
@@ -112,6 +112,6 @@
 	now := time.Now()
 	l.server.heard = now
 	if s := d.services[l.service]; s != nil {
-		s.response.add(now.Sub(l.began).Seconds(), responseWeight)
+		s.responseTime.add(now.Sub(l.began).Seconds(), responseWeight)
 	}
 }
--- a/services/dispatch/health_test.go
+++ b/services/dispatch/health_test.go
@@ -28,7 +28,7 @@
 		is := is.New(t)
 		d := newDispatcher(9, 9)
 		var told []string
-		d.OnSilent = func(s runworks.Instance, silent bool) { told = append(told, fmt.Sprint(s.ID, " ", silent)) }
+		d.OnUnresponsive = func(s runworks.Instance, silent bool) { told = append(told, fmt.Sprint(s.ID, " ", silent)) }
 		d.Report("other", runs(runworks.RunningCalls{"s1": 5}))
 		silent := taken(t, d, "silent")
 		is.Equal(silent.Instance.ID, "s0")
@@ -40,7 +40,7 @@
 		for i := range 3 {
 			is.Equal(taken(t, d, fmt.Sprint(i)).Instance.ID, "s1")
 		}
-		silent.FirstEvent(0)
+		silent.RecordFirstEvent(0)
 		d.pumpAll()
 		is.Equal(told, []string{"s0 true", "s0 false"})
 		is.Equal(taken(t, d, "again").Instance.ID, "s0")
@@ -69,7 +69,7 @@
 		is := is.New(t)
 		d := newDispatcher(9, 9)
 		var told []int
-		d.OnDoubt = func(_ runworks.Instance, entries int) { told = append(told, entries) }
+		d.OnPeerEject = func(_ runworks.Instance, entries int) { told = append(told, entries) }
 		before := taken(t, d, "before")
 		other := map[string]string{"s0": "s1", "s1": "s0"}[before.Instance.ID]
 		d.Report("busy", runs(runworks.RunningCalls{other: 5})) // so that it is the worse
@@ -80,7 +80,7 @@
 		}
 		is.Equal(len(d.Own().Ejected), 0) // hearsay is not passed on
 		time.Sleep(time.Millisecond)
-		before.FirstEvent(0)
+		before.RecordFirstEvent(0)
 		is.Equal(taken(t, d, "after").Instance.ID, before.Instance.ID)
 		d.Report("other", runworks.EntryLoad{})
 		is.Equal(told, []int{1, 0})
--- a/services/dispatch/hope.go
+++ b/services/dispatch/hope.go
@@ -67,7 +67,7 @@
 
 // patience is the part of its caller's patience that a call may wait late: the less, the
 // longer it is expected to keep its slot beyond the mean of its route's rank.
-func (s *service) patience(ask *Ask) float64 {
+func (s *service) patience(ask *Request) float64 {
 	mean := float64(s.record(ask.RouteRank).duration)
 	typical, _ := s.paces()
 	lasts := s.events(ask) * typical
@@ -83,7 +83,7 @@
 func (s *service) prune(now time.Time) {
 	var waiting []*waiter
 	rest := s.restsFor(now) > 0
-	for _, w := range s.asks {
+	for _, w := range s.waiters {
 		if w.late || rest {
 			waiting = append(waiting, w)
 		}
@@ -144,9 +144,9 @@
 }
 
 // lastStart is when the call must have a server at the latest.
-func (a *Ask) lastStart() time.Time {
-	if a.Patience.IsZero() || a.Deadline.Before(a.Patience) {
+func (a *Request) lastStart() time.Time {
+	if a.CallerTimeout.IsZero() || a.Deadline.Before(a.CallerTimeout) {
 		return a.Deadline
 	}
-	return a.Patience.Add(-startMargin)
+	return a.CallerTimeout.Add(-startMargin)
 }
--- a/services/dispatch/hope_test.go
+++ b/services/dispatch/hope_test.go
@@ -28,9 +28,9 @@
 			lease := <-acquired(d, a)
 			time.AfterFunc(time.Second, func() {
 				for range 10 {
-					lease.Pace(100 * time.Millisecond)
+					lease.RecordEventGap(100 * time.Millisecond)
 				}
-				lease.Length(100, 10)
+				lease.RecordLength(100, 10)
 				lease.Release(Served)
 			})
 		}
@@ -39,14 +39,14 @@
 			is.True((<-acquired(d, ask(fmt.Sprint("holds-", i), 2))) != nil)
 		}
 		is.True(time.Since(began) < 2*time.Second)
-		late := func(id string, tokens int) *Ask {
+		late := func(id string, tokens int) *Request {
 			a := ask(id, 2)
 			a.ExpectedTokens = tokens
 			a.Target = time.Now()
-			a.Patience = time.Now().Add(3 * time.Second)
+			a.CallerTimeout = time.Now().Add(3 * time.Second)
 			return a
 		}
-		refused := func(a *Ask) bool {
+		refused := func(a *Request) bool {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 			defer cancel()
 			_, err := d.Acquire(ctx, a)
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -27,9 +27,9 @@
 // to be over: some times the way within a region, so that an answer that was ready comes.
 const lateAnswers = 100 * time.Millisecond
 
-// OnEnd has f called a moment after it is known that the server started again: what it had
+// OnServerExit has f called a moment after it is known that the server started again: what it had
 // of the call is lost, and no answer comes any more. A silence tells it seconds later.
-func (l *Lease) OnEnd(f func()) {
+func (l *Lease) OnServerExit(f func()) {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
 	l.onEnd = f
@@ -54,8 +54,8 @@
 		delete(l.server.leases, l)
 		l.readLocked()
 		now := time.Now()
-		if wait := l.server.note(now, r); wait > 0 && d.OnSuspend != nil {
-			d.OnSuspend(l.server.Instance, l.server.failures, wait)
+		if wait := l.server.note(now, r); wait > 0 && d.OnEject != nil {
+			d.OnEject(l.server.Instance, l.server.failures, wait)
 		}
 		if s := d.services[l.service]; s != nil {
 			if r == Served {
@@ -71,23 +71,23 @@
 	})
 }
 
-// Pace records the time between two events of the call's stream.
-func (l *Lease) Pace(gap time.Duration) {
+// RecordEventGap records the time between two events of the call's stream.
+func (l *Lease) RecordEventGap(gap time.Duration) {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
 	l.server.heard = time.Now()
 	l.server.pace.add(gap.Seconds(), paceWeight)
 	l.server.steady.add(gap.Seconds(), steadyWeight)
 	broke := 0.0
-	if s := l.dispatcher.services[l.service]; s != nil && s.maxPause > 0 && gap > s.maxPause {
+	if s := l.dispatcher.services[l.service]; s != nil && s.maxGap > 0 && gap > s.maxGap {
 		broke = 1
 	}
 	l.server.breaks += breakWeight * (broke - l.server.breaks)
 }
 
-// Length records how many events a whole answer had of which the caller expected
+// RecordLength records how many events a whole answer had of which the caller expected
 // so many tokens.
-func (l *Lease) Length(expectedTokens, events int) {
+func (l *Lease) RecordLength(expectedTokens, events int) {
 	if expectedTokens == 0 || events == 0 {
 		return
 	}
@@ -95,13 +95,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s := d.services[l.service]; s != nil {
-		s.perEvent.add(float64(expectedTokens)/float64(events), lengthWeight)
+		s.tokensPerEvent.add(float64(expectedTokens)/float64(events), lengthWeight)
 	}
 }
 
-// FirstEvent records that the first event of the call's answer came, for a prompt of so
+// RecordFirstEvent records that the first event of the call's answer came, for a prompt of so
 // many tokens.
-func (l *Lease) FirstEvent(promptTokens int) {
+func (l *Lease) RecordFirstEvent(promptTokens int) {
 	d := l.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/dispatch/life_test.go
+++ b/services/dispatch/life_test.go
@@ -27,7 +27,7 @@
 		d.Replace([]runworks.Instance{bornAt(100)})
 		lease := taken(t, d, "call")
 		lease.Responded()
-		lease.Pace(time.Second)
+		lease.RecordEventGap(time.Second)
 		lost := taken(t, d, "lost")
 		lost.Release(Unreachable)
 		d.Report("other", runworks.EntryLoad{
@@ -60,7 +60,7 @@
 		is.Equal(now.load(), 2)
 
 		again := ask("again", 0)
-		again.Avoid = []string{"s0/100"} // it had the call before it started again
+		again.Exclude = []string{"s0/100"} // it had the call before it started again
 		second := <-acquired(d, again)
 		is.Equal(second.Instance.Generation, int64(200))
 		lease.Release(Broken) // tells nothing of the new life
@@ -93,20 +93,20 @@
 			defer mu.Unlock()
 			return maps.Clone(told)
 		}
-		before.OnEnd(note("before"))
-		over.OnEnd(note("over"))
+		before.OnServerExit(note("before"))
+		over.OnServerExit(note("over"))
 		over.Release(Served)
 		d.Replace([]runworks.Instance{bornAt(100)})
 		time.Sleep(time.Second)
 		is.Equal(len(all()), 0)
 		began = time.Now()
 		d.Replace([]runworks.Instance{bornAt(200)})
-		after.OnEnd(note("after")) // it had not begun to listen
+		after.OnServerExit(note("after")) // it had not begun to listen
 		time.Sleep(time.Second)
 		is.Equal(all(), map[string]time.Duration{"before": lateAnswers, "after": lateAnswers})
 		// One that only leaves the list goes on with what it has.
 		lease := taken(t, d, "goes on")
-		lease.OnEnd(note("goes on"))
+		lease.OnServerExit(note("goes on"))
 		d.Replace(nil)
 		time.Sleep(time.Second)
 		is.Equal(len(all()), 2)
--- a/services/dispatch/limit.go
+++ b/services/dispatch/limit.go
@@ -57,8 +57,8 @@
 func (d *Dispatcher) limitChangedLocked(now time.Time, s *server, from string) {
 	d.partLimitLocked(now, s)
 	// One that ends holds for a moment longer: its end is told then.
-	if word, _ := s.limit.Word(); word.Named && d.OnLimit != nil {
-		d.OnLimit(s.Instance, LimitChange{Word: word, From: from, Part: s.limit.Part(), Entries: len(d.others()) + 1})
+	if word, _ := s.limit.Word(); word.Named && d.OnRateLimit != nil {
+		d.OnRateLimit(s.Instance, LimitChange{Word: word, From: from, Part: s.limit.Part(), Entries: len(d.others()) + 1})
 	}
 }
 
@@ -76,16 +76,16 @@
 // others gives the other entries that may send: those that are heard, and those that fell
 // silent and do not count as gone yet.
 func (d *Dispatcher) others() []runworks.Incarnation {
-	return slices.AppendSeq(slices.Collect(maps.Keys(d.peers)), maps.Keys(d.absent))
+	return slices.AppendSeq(slices.Collect(maps.Keys(d.peers)), maps.Keys(d.unreachable))
 }
 
 // partLimitLocked gives this entry its part of a server's limit: which entries have one is
 // told by a hash of the server and the entries, which all have in common.
 func (d *Dispatcher) partLimitLocked(now time.Time, s *server) {
 	others := d.others()
-	own, ahead := draw(s.life, d.Self), 0
+	own, ahead := rendezvousHash(s.life, d.Self), 0
 	for _, id := range others {
-		if draw(s.life, id) > own {
+		if rendezvousHash(s.life, id) > own {
 			ahead++
 		}
 	}
@@ -107,15 +107,15 @@
 	for _, s := range d.servers {
 		if s.limit.Over(now) {
 			s.limit = serverlimit.Limit{}
-			if d.OnLimit != nil {
-				d.OnLimit(s.Instance, LimitChange{})
+			if d.OnRateLimit != nil {
+				d.OnRateLimit(s.Instance, LimitChange{})
 			}
 		}
 	}
 	gone := false
-	for id, since := range d.absent {
+	for id, since := range d.unreachable {
 		if now.Sub(since) > runworks.EntryTimeout {
-			delete(d.absent, id)
+			delete(d.unreachable, id)
 			gone = true
 		}
 	}
--- a/services/dispatch/limit_test.go
+++ b/services/dispatch/limit_test.go
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4, 4)
-		d.OnSuspend = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
+		d.OnEject = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
 		limitOf(d, "s0", 2)
 		is.Equal(served(t, d), map[string]int{"s1": 4})
 		is.Equal(len(d.Own().Ejected), 0)
@@ -62,17 +62,17 @@
 		d := newDispatcher(4, 4)
 		limitOf(d, "s1", 1)
 		failed := ask("failed", 0)
-		failed.Avoid, failed.Ran = []string{"s0"}, true
+		failed.Exclude, failed.Retry = []string{"s0"}, true
 		_, err := d.Acquire(context.Background(), failed)
 		is.True(errors.Is(err, runworks.ErrNoServer))
 		fresh := ask("fresh", 0)
-		fresh.Avoid = []string{"s0"}
+		fresh.Exclude = []string{"s0"}
 		go d.Run(t.Context())
 		lease := <-acquired(d, fresh)
 		is.Equal(lease.Instance.ID, "s1")
 		lease.Release(Served)
 		resumed := ask("resumed", 0)
-		resumed.Avoid, resumed.Ran, resumed.Resumed = []string{"s0"}, true, true
+		resumed.Exclude, resumed.Retry, resumed.Resumed = []string{"s0"}, true, true
 		lease = <-acquired(d, resumed)
 		is.Equal(lease.Instance.ID, "s1")
 		lease.Release(Served)
@@ -96,7 +96,7 @@
 		var waiting []<-chan *Lease
 		for told := false; !told; {
 			a := ask(fmt.Sprint("c", len(waiting)), 0)
-			a.Target, a.Patience = began.Add(500*time.Millisecond), began.Add(3*time.Second)
+			a.Target, a.CallerTimeout = began.Add(500*time.Millisecond), began.Add(3*time.Second)
 			out := acquired(d, a)
 			select {
 			case <-out: // closed at once
@@ -163,7 +163,7 @@
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a"}
 		var told []runworks.ServerNotice
-		d.TellWord = func(l runworks.ServerNotice) { told = append(told, l) }
+		d.SendServerNotice = func(l runworks.ServerNotice) { told = append(told, l) }
 		word := func(server string, perSecond float64, age time.Duration) runworks.ServerNotice {
 			return runworks.ServerNotice{Server: server, Limit: &runworks.RateLimit{Named: perSecond > 0, PerSecond: perSecond}, LimitAgeMs: age.Milliseconds()}
 		}
@@ -209,7 +209,7 @@
 		time.Sleep(runworks.EntryTimeout + time.Second)
 		d.Replace(instances(8))
 		is.Equal(d.Loads()[0].Limit, runworks.RateLimit{})
-		is.Equal(len(d.lapsed), 0)
+		is.Equal(len(d.expiredReports), 0)
 	})
 }
 
@@ -221,10 +221,10 @@
 		for i := range 2 * maxEarly {
 			d.TakeWords("other", []runworks.ServerNotice{{Server: strings.Repeat("x", i%97) + time.Duration(i).String()}})
 		}
-		is.Equal(len(d.early), maxEarly)
+		is.Equal(len(d.pendingNotices), maxEarly)
 		time.Sleep(runworks.EntryTimeout + time.Second)
 		d.Replace(nil)
-		is.Equal(len(d.early), 0)
+		is.Equal(len(d.pendingNotices), 0)
 	})
 }
 
@@ -235,7 +235,7 @@
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a", Self: "me"}
 		var loans []*Loan
-		d.OnWant = func(l *Loan) { loans = append(loans, l) }
+		d.RequestPermits = func(l *Loan) { loans = append(loans, l) }
 		d.Replace(instances(8))
 		d.Report("other", runworks.EntryLoad{})
 		limitOf(d, "s0", 1)
@@ -263,7 +263,7 @@
 		d := &Dispatcher{Hall: "a", Self: "me"}
 		var asked atomic.Int32
 		began := time.Now()
-		d.OnWant = func(l *Loan) {
+		d.RequestPermits = func(l *Loan) {
 			asked.Add(1)
 			time.AfterFunc(time.Millisecond, func() { d.Borrowed(l, 0) })
 		}
--- a/services/dispatch/load_test.go
+++ b/services/dispatch/load_test.go
@@ -187,9 +187,9 @@
 func (l *load) call(ctx context.Context, front *Dispatcher, id string, k *loadKind, c *loadCall, hint int) {
 	came := time.Now()
 	prompt := c.unread
-	lease, err := front.Acquire(ctx, &Ask{
+	lease, err := front.Acquire(ctx, &Request{
 		ID: runworks.RequestID(id), Service: "llm", RouteRank: k.rank, PromptTokens: prompt, ExpectedTokens: hint,
-		MaxPause: loadPause, Target: came.Add(k.target), Patience: came.Add(loadPatience), Deadline: came.Add(loadDeadline),
+		MaxGap: loadPause, Target: came.Add(k.target), CallerTimeout: came.Add(loadPatience), Deadline: came.Add(loadDeadline),
 	})
 	if err != nil {
 		l.mu.Lock()
@@ -208,14 +208,14 @@
 	for range c.events {
 		if first == 0 {
 			first = time.Since(came)
-			lease.FirstEvent(prompt)
+			lease.RecordFirstEvent(prompt)
 		} else {
 			longest = max(longest, time.Since(last))
-			lease.Pace(time.Since(last))
+			lease.RecordEventGap(time.Since(last))
 		}
 		last = time.Now()
 	}
-	lease.Length(hint, c.made/loadStride)
+	lease.RecordLength(hint, c.made/loadStride)
 	lease.Release(Served)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/services/dispatch/model.go
+++ b/services/dispatch/model.go
@@ -19,9 +19,9 @@
 	// have a server that is free of them in time: 0.797 of the calls of the highest rank are
 	// on time in place of 0.786 (15 paired plays of days under load).
 	maxBreaks = 0.1
-	// minReadingTold is how many tokens of prompts a server has to read for the other
+	// minUnreadReported is how many tokens of prompts a server has to read for the other
 	// entries to be told: fewer are read before they hear it.
-	minReadingTold = 4000
+	minUnreadReported = 4000
 	// minReadings is how many prompts have to be known before the time for one is reckoned.
 	minReadings = 10
 )
@@ -70,7 +70,7 @@
 }
 
 func (s *service) outlook() *outlook {
-	o := &outlook{maxPause: s.maxPause.Seconds(), perEvent: float64(s.perEvent)}
+	o := &outlook{maxPause: s.maxGap.Seconds(), perEvent: float64(s.tokensPerEvent)}
 	o.start, o.perToken, o.known = s.readings.line()
 	for _, one := range s.servers {
 		if pace := float64(one.steady); pace > 0 && !one.Draining && (o.fastest == 0 || pace < o.fastest) {
@@ -92,7 +92,7 @@
 // firstEvent is in how many seconds a call's first event is expected from a server: what
 // is unread there is read before. A server that takes longer between events takes as much
 // longer to read; 0 as long as too little is known.
-func (o *outlook) firstEvent(one *server, ask *Ask) float64 {
+func (o *outlook) firstEvent(one *server, ask *Request) float64 {
 	if !o.known || ask.PromptTokens == 0 {
 		return 0
 	}
@@ -102,7 +102,7 @@
 
 // pause is for how many seconds the reading of a call's prompt leaves the streams of a
 // server without an event.
-func (o *outlook) pause(one *server, ask *Ask) float64 {
+func (o *outlook) pause(one *server, ask *Request) float64 {
 	if !o.known {
 		return 0
 	}
@@ -110,7 +110,7 @@
 }
 
 // breaks is how many pauses beyond what callers allow a call is expected to meet.
-func (o *outlook) breaks(one *server, ask *Ask) float64 {
+func (o *outlook) breaks(one *server, ask *Request) float64 {
 	if o.perEvent == 0 {
 		return 0
 	}
@@ -120,7 +120,7 @@
 // fits says whether a call can be in time at a server, and leaves all streams there the
 // pauses that callers allow. One that can wait also keeps off servers whose streams break
 // them.
-func (o *outlook) fits(now time.Time, one *server, ask *Ask, canWait bool) bool {
+func (o *outlook) fits(now time.Time, one *server, ask *Request, canWait bool) bool {
 	if o.maxPause > 0 && o.pause(one, ask) > o.maxPause {
 		return false
 	}
@@ -132,7 +132,7 @@
 }
 
 // delay is the time to a call's first event as a part of the time to its target.
-func (o *outlook) delay(now time.Time, one *server, ask *Ask) float64 {
+func (o *outlook) delay(now time.Time, one *server, ask *Request) float64 {
 	left := ask.Target.Sub(now).Seconds()
 	if left <= 0 {
 		return 0
@@ -141,14 +141,14 @@
 }
 
 // fitsAny says whether some server lets a call be in time.
-func (s *service) fitsAny(now time.Time, o *outlook, ask *Ask, canWait bool) bool {
+func (s *service) fitsAny(now time.Time, o *outlook, ask *Request, canWait bool) bool {
 	return slices.ContainsFunc(s.servers, func(one *server) bool {
-		return s.healthy(now, one) && !one.withheld(now) && !slices.Contains(ask.Avoid, one.life) && o.fits(now, one, ask, canWait)
+		return s.healthy(now, one) && !one.withheld(now) && !slices.Contains(ask.Exclude, one.life) && o.fits(now, one, ask, canWait)
 	})
 }
 
 // canWait says whether a call may let a slot go and still start in time.
-func (s *service) canWait(now time.Time, ask *Ask) bool {
+func (s *service) canWait(now time.Time, ask *Request) bool {
 	tier := queueRank(ask, false)
 	return s.startsIn(now, tier, s.waitingIn(tier)+1) < ask.Target.Sub(now).Seconds()
 }
--- a/services/dispatch/model_test.go
+++ b/services/dispatch/model_test.go
@@ -38,19 +38,19 @@
 			slow int
 		}{{"s0", 1}, {"s1", 4}} {
 			l := &Lease{Instance: runworks.Instance{ID: one.id}, dispatcher: d, server: d.servers[one.id], service: "llm", began: time.Now()}
-			l.Pace(time.Duration(20*one.slow) * time.Millisecond)
+			l.RecordEventGap(time.Duration(20*one.slow) * time.Millisecond)
 			tokens := 100 * (i + 1)
 			l.began = time.Now().Add(-time.Duration(one.slow) * (50*time.Millisecond + time.Duration(tokens)*10*time.Microsecond))
-			l.FirstEvent(tokens)
+			l.RecordFirstEvent(tokens)
 		}
 	}
 	return d
 }
 
 // prompted is a call with a prompt of so many tokens.
-func prompted(id string, tokens int) *Ask {
+func prompted(id string, tokens int) *Request {
 	a := ask(id, 0)
-	a.PromptTokens, a.MaxPause = tokens, 250*time.Millisecond
+	a.PromptTokens, a.MaxGap = tokens, 250*time.Millisecond
 	return a
 }
 
@@ -64,7 +64,7 @@
 		for i := range 9 {
 			l := <-acquired(d, prompted(fmt.Sprint("long", i), 6000))
 			is.Equal(l.Instance.ID, "s0")
-			l.FirstEvent(0)
+			l.RecordFirstEvent(0)
 			held = append(held, l)
 		}
 		waits := acquired(d, prompted("waits", 6000))
@@ -85,7 +85,7 @@
 			l := &Lease{dispatcher: d, server: d.servers["s0"], service: "llm", began: time.Now()}
 			tokens := 100 * (i + 1)
 			l.began = time.Now().Add(-50*time.Millisecond - time.Duration(tokens)*10*time.Microsecond)
-			l.FirstEvent(tokens)
+			l.RecordFirstEvent(tokens)
 		}
 		first := <-acquired(d, prompted("first", 500))
 		first.Release(Served)
@@ -102,12 +102,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9)
-		l := <-acquired(d, prompted("long", minReadingTold))
-		is.Equal(d.Own().UnreadPromptTokens, map[string]int{"s0": minReadingTold})
-		l.FirstEvent(minReadingTold)
+		l := <-acquired(d, prompted("long", minUnreadReported))
+		is.Equal(d.Own().UnreadPromptTokens, map[string]int{"s0": minUnreadReported})
+		l.RecordFirstEvent(minUnreadReported)
 		is.Equal(len(d.Own().UnreadPromptTokens), 0)
 		l.Release(Served)
-		left := <-acquired(d, prompted("left", minReadingTold))
+		left := <-acquired(d, prompted("left", minUnreadReported))
 		left.Release(Abandoned)
 		is.Equal(len(d.Own().UnreadPromptTokens), 0)
 	})
@@ -123,10 +123,10 @@
 		for quick.Instance.ID != "s0" {
 			quick = <-acquired(d, prompted("again"+quick.Instance.ID, 500))
 		}
-		quick.Length(60, 10)
+		quick.RecordLength(60, 10)
 		paused := &Lease{dispatcher: d, server: d.servers["s1"], service: "llm"}
 		for range 100 {
-			paused.Pace(400 * time.Millisecond)
+			paused.RecordEventGap(400 * time.Millisecond)
 		}
 		long := prompted("long", 500)
 		long.ExpectedTokens = 600
@@ -149,7 +149,7 @@
 		for i := range 9 {
 			l := <-acquired(d, prompted(fmt.Sprint("long", i), 6000))
 			is.Equal(l.Instance.ID, "s0")
-			l.FirstEvent(0)
+			l.RecordFirstEvent(0)
 		}
 		call := prompted("call", 500)
 		call.Target = time.Now().Add(150 * time.Millisecond)
--- a/services/dispatch/press_test.go
+++ b/services/dispatch/press_test.go
@@ -80,9 +80,9 @@
 	ctx, end := context.WithCancel(p.ctx)
 	e := &pressEntry{name: name, weight: weight, end: end, heard: map[runworks.Incarnation]time.Time{}}
 	e.Dispatcher = &Dispatcher{Hall: "a", Self: runworks.Incarnation(fmt.Sprint(name, "#", p.lives))}
-	e.TellWord = func(notice runworks.ServerNotice) { p.work.Go(func() { p.tellWord(e, notice) }) }
+	e.SendServerNotice = func(notice runworks.ServerNotice) { p.work.Go(func() { p.tellWord(e, notice) }) }
 	if !p.alone {
-		e.OnWant = func(loan *Loan) { p.work.Go(func() { e.Borrowed(loan, p.lend(e, loan)) }) }
+		e.RequestPermits = func(loan *Loan) { p.work.Go(func() { e.Borrowed(loan, p.lend(e, loan)) }) }
 	}
 	var list []runworks.Instance
 	for _, id := range p.servers {
@@ -196,11 +196,11 @@
 	id := fmt.Sprint("c", p.asked)
 	p.mu.Unlock()
 	now := time.Now()
-	ask := &Ask{ID: runworks.RequestID(id), Service: "llm", Target: now.Add(pressTarget), Deadline: now.Add(pressLimit)}
+	ask := &Request{ID: runworks.RequestID(id), Service: "llm", Target: now.Add(pressTarget), Deadline: now.Add(pressLimit)}
 	lease, err := e.Acquire(p.ctx, ask)
 	for err == nil && p.turnedAway(e, lease) {
-		ask.Avoid = append(ask.Avoid, lease.Instance.ID)
-		if len(ask.Avoid) == pressSends {
+		ask.Exclude = append(ask.Exclude, lease.Instance.ID)
+		if len(ask.Exclude) == pressSends {
 			err = runworks.ErrRejected
 			break
 		}
--- a/services/dispatch/rest_test.go
+++ b/services/dispatch/rest_test.go
@@ -25,9 +25,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(16, 4)
-		d.OnSuspend = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
+		d.OnEject = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
 		var asked []time.Duration
-		d.OnRest = func(_ runworks.Instance, lasts time.Duration) { asked = append(asked, lasts) }
+		d.OnBackoff = func(_ runworks.Instance, lasts time.Duration) { asked = append(asked, lasts) }
 		placed := taken(t, d, "placed")
 		rests(d, "s0", 2*time.Second)
 		rests(d, "s0", time.Second) // an answer that was overtaken
@@ -62,7 +62,7 @@
 		is := is.New(t)
 		d := newDispatcher(4)
 		var told []time.Duration
-		d.OnRest = func(_ runworks.Instance, lasts time.Duration) { told = append(told, lasts) }
+		d.OnBackoff = func(_ runworks.Instance, lasts time.Duration) { told = append(told, lasts) }
 		for range 5 {
 			rests(d, "s0", 2*time.Second)
 			time.Sleep(10 * time.Millisecond)
@@ -100,11 +100,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1, 1)
-		d.OnWant = func(*Loan) { t.Error("a loan is no use") }
+		d.RequestPermits = func(*Loan) { t.Error("a loan is no use") }
 		go d.Run(t.Context())
-		asks := func(id string, target, patience time.Duration) *Ask {
+		asks := func(id string, target, patience time.Duration) *Request {
 			a := ask(id, 0)
-			a.Target, a.Patience = time.Now().Add(target), time.Now().Add(patience)
+			a.Target, a.CallerTimeout = time.Now().Add(target), time.Now().Add(patience)
 			return a
 		}
 		running := []*Lease{taken(t, d, "first"), taken(t, d, "second")}
@@ -124,7 +124,7 @@
 		_, err = d.Acquire(context.Background(), resumed)
 		is.True(errors.Is(err, runworks.ErrShortage))
 		failed := asks("failed", 4*time.Second, 8*time.Second)
-		failed.Ran = true
+		failed.Retry = true
 		_, err = d.Acquire(context.Background(), failed)
 		is.True(errors.Is(err, runworks.ErrNoServer))
 		is.True(time.Since(began) <= recheck)
@@ -156,7 +156,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a", Self: "me"}
-		d.OnWant = func(*Loan) { t.Error("a loan is no use") }
+		d.RequestPermits = func(*Loan) { t.Error("a loan is no use") }
 		d.Replace(instances(8, 8))
 		var running []*Lease
 		for i := range 16 {
@@ -174,7 +174,7 @@
 		}
 		waits := acquired(d, ask("waits", 0))
 		is.Equal(len(waits), 0)
-		d.OnWant = nil
+		d.RequestPermits = nil
 		go d.Run(t.Context())
 		is.True(<-waits != nil)
 	})
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -58,7 +58,7 @@
 	}
 	now := time.Now()
 	for i := range waiting {
-		ask := &Ask{
+		ask := &Request{
 			ID: runworks.RequestID(fmt.Sprint("r", i)), Service: "llm", RouteRank: 1, PromptTokens: 1000, ExpectedTokens: 50, Customer: fmt.Sprint("c", i%40),
 			Target: now.Add(time.Hour), Deadline: now.Add(time.Hour),
 		}
--- a/services/dispatch/turn.go
+++ b/services/dispatch/turn.go
@@ -88,11 +88,11 @@
 // claim is the weight of an entry's claim on a server, by weighted rendezvous
 // hashing: of all entries the one with the most calls has most often the highest.
 func claim(server string, life runworks.Incarnation, calls int) float64 {
-	return float64(calls) / -math.Log(draw(server, life))
+	return float64(calls) / -math.Log(rendezvousHash(server, life))
 }
 
-// draw gives a number between 0 and 1 that an entry and a server have in common.
-func draw(server string, life runworks.Incarnation) float64 {
+// rendezvousHash gives a number between 0 and 1 that an entry and a server have in common.
+func rendezvousHash(server string, life runworks.Incarnation) float64 {
 	return (float64(xxhash.Sum64String(server+string(life))>>11) + 0.5) / (1 << 53)
 }
 
--- a/services/dispatch/waiting.go
+++ b/services/dispatch/waiting.go
@@ -22,7 +22,7 @@
 
 // waiter is a call that waits.
 type waiter struct {
-	ask   *Ask
+	ask   *Request
 	lease chan *Lease
 	late  bool
 	// number tells the order in which calls came.
@@ -36,8 +36,8 @@
 // waitLocked puts a call in the queue of its service; false if it is full.
 func (d *Dispatcher) waitLocked(s *service, w *waiter) bool {
 	s.noteRank(w.ask.RouteRank)
-	if pause := w.ask.MaxPause; pause > 0 && (s.maxPause == 0 || pause < s.maxPause) {
-		s.maxPause = pause
+	if pause := w.ask.MaxGap; pause > 0 && (s.maxGap == 0 || pause < s.maxGap) {
+		s.maxGap = pause
 	}
 	t := &reservation.Waiting{
 		Reservation: runworks.Reservation{
@@ -54,14 +54,14 @@
 	if verdict != reservation.Taken {
 		return false
 	}
-	s.asks[w.ask.ID] = w
+	s.waiters[w.ask.ID] = w
 	return true
 }
 
 // drop gives up a call that waits, and says why.
 func (s *service) drop(id runworks.RequestID, why error) {
-	if w := s.asks[id]; w != nil {
-		delete(s.asks, id)
+	if w := s.waiters[id]; w != nil {
+		delete(s.waiters, id)
 		w.giveUp(why)
 	}
 }
@@ -89,7 +89,7 @@
 	if s == nil || s.queue.Remove(w.ask.ID) == nil {
 		return nil
 	}
-	delete(s.asks, w.ask.ID)
+	delete(s.waiters, w.ask.ID)
 	w.late = true
 	if err := s.judgeLate(time.Now(), w); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	}
 	if s := d.services[w.ask.Service]; s != nil {
 		s.queue.Remove(w.ask.ID)
-		delete(s.asks, w.ask.ID)
+		delete(s.waiters, w.ask.ID)
 	}
 	return nil, err
 }
@@ -120,7 +120,7 @@
 // queueRank gives the tier in which a call waits. An answer that broke off goes on before
 // anything new of its customer's rank: what was read and made would be lost, and its
 // caller leaves soon.
-func queueRank(ask *Ask, late bool) int {
+func queueRank(ask *Request, late bool) int {
 	step := lateSteps * ask.Rank
 	if ask.Resumed {
 		return routeSteps * step
@@ -138,15 +138,15 @@
 func routeRank(queueRank int) int { return queueRank % routeSteps }
 
 // behind is how much later than by its deadline a call stands in its customer's order.
-func (s *service) behind(ask *Ask) time.Duration {
+func (s *service) behind(ask *Request) time.Duration {
 	_, fastest := s.paces()
 	return time.Duration(lengthPart * s.events(ask) * fastest * float64(time.Second))
 }
 
 // events is how many events a call's answer is expected to have; 0 if that is not known.
-func (s *service) events(ask *Ask) float64 {
-	if s.perEvent == 0 {
+func (s *service) events(ask *Request) float64 {
+	if s.tokensPerEvent == 0 {
 		return 0
 	}
-	return float64(ask.ExpectedTokens) / float64(s.perEvent)
+	return float64(ask.ExpectedTokens) / float64(s.tokensPerEvent)
 }
--- a/services/dispatch/withheld.go
+++ b/services/dispatch/withheld.go
@@ -39,7 +39,7 @@
 		rate += one.limit.Part().PerSecond
 		lends = lends || !one.rest.asked(now)
 	}
-	if lends && s.borrowing.likely(now, ahead) {
+	if lends && s.permitRequests.likely(now, ahead) {
 		return 0
 	}
 	if rate *= share; ahead == 0 || rate == 0 {
--- a/services/dispatch/words.go
+++ b/services/dispatch/words.go
@@ -68,8 +68,8 @@
 		return false
 	}
 	s.leaving, s.Draining = true, true
-	if d.OnLeaving != nil {
-		d.OnLeaving(s.Instance, from)
+	if d.OnDraining != nil {
+		d.OnDraining(s.Instance, from)
 	}
 	return true
 }
@@ -77,7 +77,7 @@
 // hearRestLocked takes a server's word that it wants nothing from this entry for a time. The
 // others are not told: they may be welcome there.
 func (d *Dispatcher) hearRestLocked(now time.Time, s *server, lasts time.Duration) {
-	if s.rest.ask(now, lasts) && d.OnRest != nil {
-		d.OnRest(s.Instance, s.rest.until.Sub(now))
+	if s.rest.ask(now, lasts) && d.OnBackoff != nil {
+		d.OnBackoff(s.Instance, s.rest.until.Sub(now))
 	}
 }
--- a/services/dispatch/words_lapsed.go
+++ b/services/dispatch/words_lapsed.go
@@ -24,22 +24,22 @@
 	if !s.limit.InForce(now) && !s.leaving && !s.rest.asked(now) {
 		return
 	}
-	if d.lapsed == nil {
-		d.lapsed = make(map[string]lapsedWords)
+	if d.expiredReports == nil {
+		d.expiredReports = make(map[string]lapsedWords)
 	}
-	d.lapsed[s.life] = lapsedWords{words: s.words, went: now}
+	d.expiredReports[s.life] = lapsedWords{words: s.words, went: now}
 }
 
 // takeLapsed gives the words back that a server had said when its record went.
 func (d *Dispatcher) takeLapsed(life string) words {
-	w := d.lapsed[life].words
-	delete(d.lapsed, life)
+	w := d.expiredReports[life].words
+	delete(d.expiredReports, life)
 	return w
 }
 
 // tendLapsedLocked forgets the words of servers that did not come back.
 func (d *Dispatcher) tendLapsedLocked(now time.Time) {
-	maps.DeleteFunc(d.lapsed, func(_ string, one lapsedWords) bool {
+	maps.DeleteFunc(d.expiredReports, func(_ string, one lapsedWords) bool {
 		gone := now.Sub(one.went)
 		return gone > lapsedKept || gone > runworks.EntryTimeout && !one.leaving && !one.rest.asked(now)
 	})
--- a/services/dispatch/words_test.go
+++ b/services/dispatch/words_test.go
@@ -28,8 +28,8 @@
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a"}
 		var told []runworks.ServerNotice
-		d.TellWord = func(n runworks.ServerNotice) { told = append(told, n) }
-		d.OnSuspend = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
+		d.SendServerNotice = func(n runworks.ServerNotice) { told = append(told, n) }
+		d.OnEject = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
 		d.Replace([]runworks.Instance{bornAt(100)})
 		running := taken(t, d, "running")
 		waiting := taken(t, d, "waits for a connection")
@@ -92,7 +92,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4, 4)
-		d.TellWord = func(runworks.ServerNotice) { t.Error("told on") }
+		d.SendServerNotice = func(runworks.ServerNotice) { t.Error("told on") }
 		d.TakeWords("other", []runworks.ServerNotice{{Server: "s1", Draining: true}, {Server: "s2", Draining: true}})
 		limit := &runworks.RateLimit{Named: true, PerSecond: 3}
 		d.TakeWords("other", []runworks.ServerNotice{{Server: "s3", Limit: limit, LimitAgeMs: 1000}})
@@ -114,7 +114,7 @@
 		d.Replace(nil)
 		time.Sleep(2 * lapsedKept)
 		d.tendLapsedLocked(time.Now())
-		is.Equal(len(d.lapsed), 0)
+		is.Equal(len(d.expiredReports), 0)
 	})
 }
 
--- a/services/dispatch/words_told.go
+++ b/services/dispatch/words_told.go
@@ -17,12 +17,12 @@
 			d.takeWordLocked(now, s, &e)
 			continue
 		}
-		if d.early == nil {
-			d.early = make(map[string]earlyWord)
+		if d.pendingNotices == nil {
+			d.pendingNotices = make(map[string]earlyWord)
 		}
-		if older, ok := d.early[one.Server]; ok || len(d.early) < maxEarly {
+		if older, ok := d.pendingNotices[one.Server]; ok || len(d.pendingNotices) < maxEarly {
 			e.ServerNotice = one.Merge(older.AgedBy(now.Sub(older.told)))
-			d.early[one.Server] = e
+			d.pendingNotices[one.Server] = e
 		}
 	}
 }
@@ -59,20 +59,20 @@
 // takeEarlyLocked takes what was told of servers that are known now, and forgets what was told
 // of those that did not come.
 func (d *Dispatcher) takeEarlyLocked(now time.Time) {
-	for life, e := range d.early {
+	for life, e := range d.pendingNotices {
 		if s := d.servers[life]; s != nil {
 			d.takeWordLocked(now, s, &e)
-			delete(d.early, life)
+			delete(d.pendingNotices, life)
 		} else if e.expired(now) {
-			delete(d.early, life)
+			delete(d.pendingNotices, life)
 		}
 	}
 }
 
 // tellWord has the others told of a server's words.
 func (d *Dispatcher) tellWord(notice runworks.ServerNotice) {
-	if d.TellWord != nil {
-		d.TellWord(notice)
+	if d.SendServerNotice != nil {
+		d.SendServerNotice(notice)
 	}
 }
 
@@ -92,7 +92,7 @@
 			out = append(out, one)
 		}
 	}
-	for life, one := range d.lapsed {
+	for life, one := range d.expiredReports {
 		if one.leaving {
 			out = append(out, runworks.ServerNotice{Server: life, Draining: true})
 		}
--- a/services/forward/ask.go
+++ b/services/forward/ask.go
@@ -10,7 +10,7 @@
 
 // ask says what the call wants of the dispatcher. An answer that broke off asks with the
 // pause that its caller allows as its target.
-func (c *call) ask() *dispatch.Ask {
+func (c *call) ask() *dispatch.Request {
 	target := c.deadline
 	switch {
 	case !c.lastEvent.IsZero():
@@ -18,10 +18,10 @@
 	case c.route.Target > 0:
 		target = c.in.Received.Add(c.route.Target)
 	}
-	return &dispatch.Ask{
+	return &dispatch.Request{
 		ID: c.in.ID, Service: c.service, Rank: c.rank, RouteRank: c.route.Rank, Customer: c.customerName(),
 		PromptTokens: c.in.PromptTokens, MaxTokens: c.in.MaxTokens, ExpectedTokens: c.in.ExpectedTokens,
-		Resumed: !c.lastEvent.IsZero(), Ran: c.ran > 0, MaxPause: c.route.MaxGap, Target: target, Patience: c.patience(), Deadline: c.deadline, Avoid: slices.Clone(c.tried),
+		Resumed: !c.lastEvent.IsZero(), Retry: c.ran > 0, MaxGap: c.route.MaxGap, Target: target, CallerTimeout: c.patience(), Deadline: c.deadline, Exclude: slices.Clone(c.tried),
 	}
 }
 
--- a/services/forward/attempt.go
+++ b/services/forward/attempt.go
@@ -20,7 +20,7 @@
 	c.sends++
 	var cancel context.CancelCauseFunc
 	c.sending, cancel = context.WithCancelCause(ctx)
-	lease.OnEnd(func() { cancel(errStartedAgain) })
+	lease.OnServerExit(func() { cancel(errStartedAgain) })
 	spanCtx, span := c.f.Tracer.Start(c.sending, tracing.SpanBackend)
 	defer span.End()
 	send := &runworks.Send{Inbound: c.in, To: lease.Instance, TimeLeft: c.left(), LastEventID: lastEvent, Customer: c.customerName()}
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -110,10 +110,10 @@
 	now := time.Now()
 	if s.lastAt.IsZero() {
 		s.firstAt = now
-		s.lease.FirstEvent(s.call.in.PromptTokens)
+		s.lease.RecordFirstEvent(s.call.in.PromptTokens)
 	} else {
 		pause := now.Sub(s.lastAt)
-		s.lease.Pace(pause)
+		s.lease.RecordEventGap(pause)
 		s.call.longestPause = max(s.call.longestPause, pause)
 	}
 	s.call.events++
@@ -170,7 +170,7 @@
 	s.closed = true
 	_ = s.body.Close()
 	if errors.Is(s.end, io.EOF) {
-		s.lease.Length(s.call.in.ExpectedTokens, s.call.events)
+		s.lease.RecordLength(s.call.in.ExpectedTokens, s.call.events)
 		s.lease.Release(dispatch.Served)
 		s.call.noteAnswered()
 		s.call.finish(runworks.OutcomeDone, 0, nil)
--- a/services/forward/stream_test.go
+++ b/services/forward/stream_test.go
@@ -53,5 +53,5 @@
 	broken := c.ask()
 	is.True(broken.Resumed)
 	is.Equal(broken.Target, c.lastEvent.Add(route.MaxGap))
-	is.Equal(broken.Patience, c.lastEvent.Add(targetPatience*route.Target))
+	is.Equal(broken.CallerTimeout, c.lastEvent.Add(targetPatience*route.Target))
 }
