--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -13,12 +13,12 @@
 const (
 	// DefaultMaxWaiting bounds the calls that wait at an entry for one service.
 	DefaultMaxWaiting = 2000
-	// recheck is how often waiting calls are looked at without an event:
+	// recheckInterval is how often waiting calls are looked at without an event:
 	// suspensions end by themselves.
-	recheck = 50 * time.Millisecond
-	// maxPassed bounds the calls that are passed over in one look because no free
+	recheckInterval = 50 * time.Millisecond
+	// maxSkipped bounds the calls that are passed over in one look because no free
 	// server suits them.
-	maxPassed = 32
+	maxSkipped = 32
 )
 
 // Request is a call that wants a backend server.
@@ -112,7 +112,7 @@
 	highestRank, lowestRank int
 	anyRank                 bool
 	// rankStats tell of the routes' ranks.
-	rankStats map[int]*rankRecord
+	rankStats map[int]*rankStats
 	// startShares are the parts of the starts that the tiers get while their calls wait.
 	startShares map[int]float64
 	// duration is how long a call has its slot on average, in seconds; 0 is not known.
@@ -122,8 +122,8 @@
 	// responseTime is the mean time from a call's start to the head of its answer, in
 	// seconds; 0 is not known.
 	responseTime average
-	// readings tell how long the fastest server takes to the first event.
-	readings readings
+	// prefill tell how long the fastest server takes to the first event.
+	prefill prefillModel
 	// maxGap is the shortest of the longest pauses that callers allow; 0 is not known.
 	maxGap time.Duration
 	// tokensPerEvent is how many of the tokens that callers expect an event stands for,
@@ -135,53 +135,53 @@
 // Acquire waits until a backend server is free for the call. The errors are
 // ErrNoServer if none is known, ErrShortage if too many wait, ErrTimeLimit at
 // the call's deadline, and the cause of ctx.
-func (d *Dispatcher) Acquire(ctx context.Context, ask *Request) (*Lease, error) {
-	w, lease, err := d.enter(ask)
+func (d *Dispatcher) Acquire(ctx context.Context, req *Request) (*Lease, error) {
+	w, lease, err := d.admit(req)
 	if lease != nil || err != nil {
 		return lease, err
 	}
-	target := time.NewTimer(time.Until(ask.Target))
+	target := time.NewTimer(time.Until(req.Target))
 	defer target.Stop()
-	patience := time.NewTimer(time.Until(ask.lastStart()))
-	defer patience.Stop()
+	lastStart := time.NewTimer(time.Until(req.lastStart()))
+	defer lastStart.Stop()
 	for {
 		select {
 		case lease := <-w.lease:
-			return w.granted(lease)
+			return w.result(lease)
 		case <-target.C:
 			if err := d.demote(w); err != nil {
 				return nil, err
 			}
-		case <-patience.C:
-			return d.leave(w, runworks.ErrTimeLimit)
+		case <-lastStart.C:
+			return d.cancel(w, runworks.ErrTimeLimit)
 		case <-ctx.Done():
-			return d.leave(w, context.Cause(ctx))
+			return d.cancel(w, context.Cause(ctx))
 		}
 	}
 }
 
-// enter takes a free slot at once, or puts the call among those that wait.
-func (d *Dispatcher) enter(ask *Request) (*waiter, *Lease, error) {
+// admit takes a free slot at once, or puts the call among those that wait.
+func (d *Dispatcher) admit(req *Request) (*waiter, *Lease, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.services[ask.Service]
+	s := d.services[req.Service]
 	now := time.Now()
-	if s == nil || !s.any(now, ask) {
+	if s == nil || !s.hasServerFor(now, req) {
 		return nil, nil, runworks.ErrNoServer
 	}
 	s.arrivals++
-	w := &waiter{ask: ask, lease: make(chan *Lease, 1), number: s.arrivals}
-	w.fits = s.fitsAny(now, s.outlook(), ask, s.canWait(now, ask))
-	if err := s.judge(now, w); err != nil {
+	w := &waiter{req: req, lease: make(chan *Lease, 1), arrival: s.arrivals}
+	w.feasible = s.anyMeetsTarget(now, s.forecast(), req, s.canWait(now, req))
+	if err := s.checkAdmission(now, w); err != nil {
 		return nil, nil, err
 	}
-	if !d.waitLocked(s, w) {
+	if !d.enqueueLocked(s, w) {
 		return nil, nil, runworks.ErrShortage
 	}
 	d.pumpLocked(s)
 	select {
 	case lease := <-w.lease:
-		lease, err := w.granted(lease)
+		lease, err := w.result(lease)
 		return nil, lease, err
 	default:
 		return w, nil, nil
@@ -190,13 +190,13 @@
 
 // Run looks at the waiting calls from time to time, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	again := time.NewTicker(recheck)
-	defer again.Stop()
+	ticker := time.NewTicker(recheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again.C:
+		case <-ticker.C:
 			d.pumpAll()
 		}
 	}
@@ -222,43 +222,43 @@
 		return
 	}
 	now := time.Now()
-	var passed []*waiter
-	for s.queue.Len() > 0 && len(passed) < maxPassed {
-		open := d.turns(now, s, s.open(now))
-		if len(open) == 0 {
+	var skipped []*waiter
+	for s.queue.Len() > 0 && len(skipped) < maxSkipped {
+		available := d.serversInTurn(now, s, s.available(now))
+		if len(available) == 0 {
 			break
 		}
-		t := s.queue.Pop(now, func(rank int) bool { return s.anyFor(open, rank) })
+		t := s.queue.Pop(now, func(rank int) bool { return s.anyFree(available, rank) })
 		if t == nil {
 			break
 		}
 		w := s.waiters[t.ID]
 		delete(s.waiters, t.ID)
-		to := d.choose(now, s, open, w)
-		if to == nil {
-			passed = append(passed, w)
+		target := d.choose(now, s, available, w)
+		if target == nil {
+			skipped = append(skipped, w)
 			continue
 		}
-		to.reading += w.ask.PromptTokens
-		s.noteStart(t.Tier)
-		lease := &Lease{Instance: to.Instance, dispatcher: d, server: to, service: s.name, routeRank: routeRank(t.Tier), began: now, reading: w.ask.PromptTokens}
-		to.take(now, lease)
+		target.reading += w.req.PromptTokens
+		s.recordStart(t.Tier)
+		lease := &Lease{Instance: target.Instance, dispatcher: d, server: target, service: s.name, routeRank: routeRank(t.Tier), began: now, unreadTokens: w.req.PromptTokens}
+		target.take(now, lease)
 		w.lease <- lease
 	}
-	for _, w := range passed {
-		if !d.waitLocked(s, w) {
-			w.giveUp(runworks.ErrShortage)
+	for _, w := range skipped {
+		if !d.enqueueLocked(s, w) {
+			w.abandon(runworks.ErrShortage)
 		}
 	}
 	d.borrowLocked(now, s)
 }
 
-// any says whether a backend server is known that the call may go to. One that a server
+// hasServerFor says whether a backend server is known that the call may go to. One that a server
 // failed does not wait for what the limit of another gives, or its rest leaves: it has an
 // answer, and the slot is of more use to a call that has none. A stream that goes on does wait.
-func (s *service) any(now time.Time, ask *Request) bool {
+func (s *service) hasServerFor(now time.Time, req *Request) bool {
 	for _, one := range s.servers {
-		if !one.Draining && !slices.Contains(ask.Exclude, one.life) && (!ask.Retry || ask.Resumed || !one.withheld(now)) {
+		if !one.Draining && !slices.Contains(req.Exclude, one.life) && (!req.Retry || req.Resumed || !one.withheld(now)) {
 			return true
 		}
 	}
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -428,14 +428,14 @@
 		}
 		late := acquired(d, ask("late", 0))
 		time.Sleep(2 * time.Second)
-		for _, one := range held[:keptFromLate] {
+		for _, one := range held[:slotsKeptFromLate] {
 			one.Release(Served)
 		}
 		is.Equal(len(late), 0)
 		lease := <-acquired(d, ask("fresh", 0))
 		lease.Release(Served)
 		is.Equal(len(late), 0)
-		held[keptFromLate].Release(Served)
+		held[slotsKeptFromLate].Release(Served)
 		(<-late).Release(Served)
 	})
 }
--- a/services/dispatch/hope.go
+++ b/services/dispatch/hope.go
@@ -14,46 +14,46 @@
 const (
 	// durationWeight is the weight of the newest call in the average duration.
 	durationWeight = 0.05
-	// leastPatience is the part of its caller's patience that a late call may wait at least,
+	// minWaitFraction is the part of its caller's patience that a late call may wait at least,
 	// however long it keeps its slot. Of long and short ones that come too late the short
 	// go first: 0.377 in place of 0.372 of the lowest rank's calls are on time and 0.380 in
 	// place of 0.388 refused (10 paired plays of days on which all slots are taken). The
 	// bound leaves the long their turn as soon as the queue is short.
-	leastPatience = 0.3
+	minWaitFraction = 0.3
 	// startMargin is how much before its caller leaves a call must start at least.
 	startMargin = 300 * time.Millisecond
 )
 
-// judge decides whether a call that comes now waits for its target, or, if it is not likely
+// checkAdmission decides whether a call that comes now waits for its target, or, if it is not likely
 // to start by then, as a late one.
-func (s *service) judge(now time.Time, w *waiter) error {
-	if w.ask.Resumed {
-		return s.judgeLate(now, w)
+func (s *service) checkAdmission(now time.Time, w *waiter) error {
+	if w.req.Resumed {
+		return s.checkLateAdmission(now, w)
 	}
-	tier := queueRank(w.ask, false)
-	if s.startsIn(now, tier, s.waitingIn(tier)) <= w.ask.Target.Sub(now).Seconds() {
+	tier := queueTier(w.req, false)
+	if s.startDelay(now, tier, s.waitingIn(tier)) <= w.req.Target.Sub(now).Seconds() {
 		return nil
 	}
 	w.late = true
-	return s.judgeLate(now, w)
+	return s.checkLateAdmission(now, w)
 }
 
-// judgeLate says whether a late call has no hope to start before its caller leaves: that
+// checkLateAdmission says whether a late call has no hope to start before its caller leaves: that
 // one is better told at once. An answer that broke off is let wait, but not where all servers
 // rest for longer than its caller waits.
-func (s *service) judgeLate(now time.Time, w *waiter) error {
-	return s.hopeless(now, w, s.waitingIn(queueRank(w.ask, true)))
+func (s *service) checkLateAdmission(now time.Time, w *waiter) error {
+	return s.checkLateStart(now, w, s.waitingIn(queueTier(w.req, true)))
 }
 
-// hopeless gives an error if a late call that has so many ahead is not likely to start
+// checkLateStart gives an error if a late call that has so many ahead is not likely to start
 // before its caller leaves.
-func (s *service) hopeless(now time.Time, w *waiter, ahead int) error {
-	left := w.ask.lastStart().Sub(now).Seconds()
-	if w.ask.Resumed && s.restsFor(now).Seconds() <= left {
+func (s *service) checkLateStart(now time.Time, w *waiter, ahead int) error {
+	left := w.req.lastStart().Sub(now).Seconds()
+	if w.req.Resumed && s.restsFor(now).Seconds() <= left {
 		return nil
 	}
-	in := s.startsIn(now, queueRank(w.ask, true), ahead)
-	if in <= left*s.patience(w.ask) {
+	in := s.startDelay(now, queueTier(w.req, true), ahead)
+	if in <= left*s.waitFraction(w.req) {
 		return nil
 	}
 	switch {
@@ -65,16 +65,16 @@
 	return errorx.Decorate(runworks.ErrShortage, "%d late calls wait ahead for some %.0f ms, the caller leaves in %.0f ms", ahead, in*1000, left*1000)
 }
 
-// patience is the part of its caller's patience that a call may wait late: the less, the
+// waitFraction is the part of its caller's waitFraction that a call may wait late: the less, the
 // longer it is expected to keep its slot beyond the mean of its route's rank.
-func (s *service) patience(ask *Request) float64 {
-	mean := float64(s.record(ask.RouteRank).duration)
+func (s *service) waitFraction(req *Request) float64 {
+	mean := float64(s.statsFor(req.RouteRank).duration)
 	typical, _ := s.paces()
-	lasts := s.events(ask) * typical
-	if mean == 0 || lasts == 0 {
+	expected := s.expectedEvents(req) * typical
+	if mean == 0 || expected == 0 {
 		return 1
 	}
-	return min(max(mean/lasts, leastPatience), 1)
+	return min(max(mean/expected, minWaitFraction), 1)
 }
 
 // prune tells the late calls that have no hope any more, as the queue moves: calls held
@@ -82,46 +82,46 @@
 // are not late yet have none either where all servers asked for a rest that outlasts them.
 func (s *service) prune(now time.Time) {
 	var waiting []*waiter
-	rest := s.restsFor(now) > 0
+	backoff := s.restsFor(now) > 0
 	for _, w := range s.waiters {
-		if w.late || rest {
+		if w.late || backoff {
 			waiting = append(waiting, w)
 		}
 	}
-	slices.SortFunc(waiting, firstToLeave)
+	slices.SortFunc(waiting, byLastStart)
 	ahead := make(map[int]int)
 	for _, w := range waiting {
-		tier := queueRank(w.ask, true)
-		if err := s.hopeless(now, w, ahead[tier]); err != nil {
-			s.queue.Remove(w.ask.ID)
-			s.drop(w.ask.ID, err)
+		tier := queueTier(w.req, true)
+		if err := s.checkLateStart(now, w, ahead[tier]); err != nil {
+			s.queue.Remove(w.req.ID)
+			s.drop(w.req.ID, err)
 			continue
 		}
 		ahead[tier]++
 	}
 }
 
-// firstToLeave orders calls by when their callers leave, and as they came.
-func firstToLeave(a, b *waiter) int {
-	return cmp.Or(a.ask.lastStart().Compare(b.ask.lastStart()), cmp.Compare(a.number, b.number))
+// byLastStart orders calls by when their callers leave, and as they came.
+func byLastStart(a, b *waiter) int {
+	return cmp.Or(a.req.lastStart().Compare(b.req.lastStart()), cmp.Compare(a.arrival, b.arrival))
 }
 
-// startsIn is in how many seconds a call of a tier starts that has so many ahead; 0 for
+// startDelay is in how many seconds a call of a tier starts that has so many ahead; 0 for
 // the first where a slot is all that it needs, and as long as nothing is known.
-func (s *service) startsIn(now time.Time, tier, ahead int) float64 {
+func (s *service) startDelay(now time.Time, tier, ahead int) float64 {
 	if s.withheld(now) {
-		return s.withheldStart(now, s.share(tier), ahead)
+		return s.withheldStart(now, s.startShare(tier), ahead)
 	}
-	rate := s.rate() * s.share(tier)
+	rate := s.startRate() * s.startShare(tier)
 	if ahead == 0 || rate == 0 {
 		return 0
 	}
 	return float64(ahead+1) / rate
 }
 
-// rate is how many calls start here in a second when the slots that this entry
+// startRate is how many calls start here in a second when the slots that this entry
 // has are used in full; 0 if that is not known.
-func (s *service) rate() float64 {
+func (s *service) startRate() float64 {
 	if s.duration == 0 {
 		return 0
 	}
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -16,31 +16,31 @@
 	service    string
 	routeRank  int
 	began      time.Time
-	// reading is how many tokens of the call's prompt the server has still to read.
-	reading int
-	once    sync.Once
-	// onEnd is called once the server has started again.
-	onEnd func()
+	// unreadTokens is how many tokens of the call's prompt the server has still to read.
+	unreadTokens int
+	once         sync.Once
+	// onExit is called once the server has started again.
+	onExit func()
 }
 
-// lateAnswers is how long a call waits for what a server's last life sent, once it is known
+// lateAnswerGrace is how long a call waits for what a server's last life sent, once it is known
 // to be over: some times the way within a region, so that an answer that was ready comes.
-const lateAnswers = 100 * time.Millisecond
+const lateAnswerGrace = 100 * time.Millisecond
 
 // OnServerExit has f called a moment after it is known that the server started again: what it had
 // of the call is lost, and no answer comes any more. A silence tells it seconds later.
 func (l *Lease) OnServerExit(f func()) {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
-	l.onEnd = f
+	l.onExit = f
 	if l.server.ended {
-		l.tellEnd()
+		l.notifyExit()
 	}
 }
 
-func (l *Lease) tellEnd() {
-	if l.onEnd != nil {
-		time.AfterFunc(lateAnswers, l.onEnd)
+func (l *Lease) notifyExit() {
+	if l.onExit != nil {
+		time.AfterFunc(lateAnswerGrace, l.onExit)
 	}
 }
 
@@ -52,7 +52,7 @@
 		defer d.mu.Unlock()
 		l.server.vacate()
 		delete(l.server.leases, l)
-		l.readLocked()
+		l.markReadLocked()
 		now := time.Now()
 		if wait := l.server.note(now, r); wait > 0 && d.OnEject != nil {
 			d.OnEject(l.server.Instance, l.server.failures, wait)
@@ -60,7 +60,7 @@
 		if s := d.services[l.service]; s != nil {
 			if r == Served {
 				s.duration.add(now.Sub(l.began).Seconds(), durationWeight)
-				s.record(l.routeRank).duration.add(now.Sub(l.began).Seconds(), durationWeight)
+				s.statsFor(l.routeRank).duration.add(now.Sub(l.began).Seconds(), durationWeight)
 				s.served++
 			}
 			if r == Failed {
@@ -78,11 +78,11 @@
 	l.server.heard = time.Now()
 	l.server.pace.add(gap.Seconds(), paceWeight)
 	l.server.steady.add(gap.Seconds(), steadyWeight)
-	broke := 0.0
+	stalled := 0.0
 	if s := l.dispatcher.services[l.service]; s != nil && s.maxGap > 0 && gap > s.maxGap {
-		broke = 1
+		stalled = 1
 	}
-	l.server.breaks += breakWeight * (broke - l.server.breaks)
+	l.server.breaks += stallWeight * (stalled - l.server.breaks)
 }
 
 // RecordLength records how many events a whole answer had of which the caller expected
@@ -107,14 +107,14 @@
 	defer d.mu.Unlock()
 	now := time.Now()
 	l.server.heard = now
-	l.readLocked()
+	l.markReadLocked()
 	if s := d.services[l.service]; s != nil && promptTokens > 0 {
-		s.readings.add(float64(promptTokens), now.Sub(l.began).Seconds()/s.outlook().slowness(l.server))
+		s.prefill.add(float64(promptTokens), now.Sub(l.began).Seconds()/s.forecast().slowdown(l.server))
 	}
 }
 
-// readLocked notes that the call's prompt was read, or will not be.
-func (l *Lease) readLocked() {
-	l.server.reading -= l.reading
-	l.reading = 0
+// markReadLocked notes that the call's prompt was read, or will not be.
+func (l *Lease) markReadLocked() {
+	l.server.reading -= l.unreadTokens
+	l.unreadTokens = 0
 }
--- a/services/dispatch/life_test.go
+++ b/services/dispatch/life_test.go
@@ -103,7 +103,7 @@
 		d.Replace([]runworks.Instance{bornAt(200)})
 		after.OnServerExit(note("after")) // it had not begun to listen
 		time.Sleep(time.Second)
-		is.Equal(all(), map[string]time.Duration{"before": lateAnswers, "after": lateAnswers})
+		is.Equal(all(), map[string]time.Duration{"before": lateAnswerGrace, "after": lateAnswerGrace})
 		// One that only leaves the list goes on with what it has.
 		lease := taken(t, d, "goes on")
 		lease.OnServerExit(note("goes on"))
--- a/services/dispatch/model_test.go
+++ b/services/dispatch/model_test.go
@@ -15,14 +15,14 @@
 // TestReadings finds the line behind what was seen, and says nothing on too little.
 func TestReadings(t *testing.T) {
 	is := is.New(t)
-	var r readings
-	for i := range 2 * minReadings {
-		_, _, ok := r.line()
-		is.True(!ok || i >= minReadings)
+	var r prefillModel
+	for i := range 2 * minPrefillSamples {
+		_, _, ok := r.fit()
+		is.True(!ok || i >= minPrefillSamples)
 		tokens := float64(100 * (i + 1))
 		r.add(tokens, 0.05+tokens*0.0001)
 	}
-	start, perToken, ok := r.line()
+	start, perToken, ok := r.fit()
 	is.True(ok)
 	is.True(math.Abs(start-0.05) < 1e-9)
 	is.True(math.Abs(perToken-0.0001) < 1e-9)
@@ -32,7 +32,7 @@
 // four times as long; a prompt takes the fastest 50 ms and 10 ms for 1,000 tokens.
 func unlike() *Dispatcher {
 	d := newDispatcher(9, 9)
-	for i := range 2 * minReadings {
+	for i := range 2 * minPrefillSamples {
 		for _, one := range []struct {
 			id   string
 			slow int
@@ -81,7 +81,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9)
-		for i := range 2 * minReadings {
+		for i := range 2 * minPrefillSamples {
 			l := &Lease{dispatcher: d, server: d.servers["s0"], service: "llm", began: time.Now()}
 			tokens := 100 * (i + 1)
 			l.began = time.Now().Add(-50*time.Millisecond - time.Duration(tokens)*10*time.Microsecond)
--- a/services/dispatch/rest_test.go
+++ b/services/dispatch/rest_test.go
@@ -116,7 +116,7 @@
 		rests(d, "s1", 5*time.Second)
 		_, ok := <-waits
 		is.True(!ok)
-		is.True(time.Since(began) <= recheck)
+		is.True(time.Since(began) <= recheckInterval)
 		_, err := d.Acquire(context.Background(), asks("comes", time.Second, 2*time.Second))
 		is.True(errors.Is(err, runworks.ErrShortage))
 		resumed := asks("resumed", 400*time.Millisecond, 2*time.Second)
@@ -127,7 +127,7 @@
 		failed.Retry = true
 		_, err = d.Acquire(context.Background(), failed)
 		is.True(errors.Is(err, runworks.ErrNoServer))
-		is.True(time.Since(began) <= recheck)
+		is.True(time.Since(began) <= recheckInterval)
 		for _, lease := range running {
 			lease.Release(Served)
 		}
--- a/services/dispatch/server.go
+++ b/services/dispatch/server.go
@@ -106,7 +106,7 @@
 func (s *server) end() {
 	s.ended = true
 	for lease := range s.leases {
-		lease.tellEnd()
+		lease.notifyExit()
 	}
 }
 
--- a/services/dispatch/turn_test.go
+++ b/services/dispatch/turn_test.go
@@ -75,7 +75,7 @@
 		all.free()
 		is.Equal(started(waiting), 1)
 		for range 10 { // what runs is known now: nobody else starts
-			time.Sleep(turnTime / 2)
+			time.Sleep(turnDuration / 2)
 			all.tell()
 			for _, d := range all {
 				d.pumpAll()
@@ -101,7 +101,7 @@
 		d.Report("first", load)
 		synctest.Wait()
 		is.Equal(len(waiting), 0)
-		time.Sleep(d.turnTime())
+		time.Sleep(d.turnDuration())
 		d.pumpAll()
 		synctest.Wait()
 		is.Equal(len(waiting), 1)
