--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -90,7 +90,7 @@
 		d.Tune(d.Entry)
 	}
 	d.Entry.Start()
-	d.shares = &admission.Shares{Name: s.Name, Settle: s.ListSettle}
+	d.shares = &admission.Shares{Name: s.Name, MaxLag: s.ListSettle}
 	d.Entry.OnEntries = func(names []string) { d.shares.Observe(time.Now(), names) }
 	admit := &admission.Admission{Config: d.Config, Shares: d.shares}
 	routes := &callers.Routes{Entry: d.Entry, Admission: admit, Tracer: p.Tracer, MaxBodyBytes: s.MaxBodyBytes}
@@ -102,7 +102,7 @@
 	if d.red.Load() {
 		return runworks.ErrStopping
 	}
-	if !d.shares.Settled(time.Now()) {
+	if !d.shares.Ready(time.Now()) {
 		return errorx.Decorate(runworks.ErrNotReady, "the host list has not settled")
 	}
 	return d.Entry.Ready()
--- a/daemon/front.go
+++ b/daemon/front.go
@@ -69,7 +69,7 @@
 	// serversMu guards what is known of the backend servers' records.
 	serversMu sync.Mutex
 	servers   platform.Servers
-	lapses    dispatch.Lapses
+	lapses    dispatch.ExpiryFilter
 	// unnamed are the lives of servers whose services no route names, as they were told of.
 	unnamed map[string]bool
 	// pool keeps the connections to backend servers.
@@ -165,15 +165,15 @@
 	d.dispatcher = &dispatch.Dispatcher{
 		Self: self.Incarnation, Hall: s.Hall, OnEject: d.onSuspend, OnUnresponsive: d.onSilent, OnPeerEject: d.onDoubt, OnRateLimit: d.onLimit, RequestPermits: d.onWant,
 		OnDraining: d.onLeaving, OnBackoff: d.onRest,
-		SendServerNotice: func(notice runworks.ServerNotice) { d.exchange.TellServerWord(notice) },
+		SendServerNotice: func(notice runworks.ServerNotice) { d.exchange.SendServerNotice(notice) },
 	}
 	d.quota = &quota.Quota{Self: self.Incarnation, Window: s.QuotaWindow, Started: time.Now()}
 	d.budgets = &forward.Budgets{Ratio: s.RetryRatio, Slack: s.RetrySlack, Started: time.Now(), Window: s.RetryWindow}
-	d.quarantine = &quarantine.Quarantine{After: s.QuarantineAfter, For: s.QuarantineFor, OnNews: d.onSuspect, OnHeld: d.onHeld, OnLifted: d.onLifted}
+	d.quarantine = &quarantine.Quarantine{ExitThreshold: s.QuarantineAfter, Duration: s.QuarantineFor, OnUpdate: d.onSuspect, OnQuarantine: d.onHeld, OnRelease: d.onLifted}
 	d.opened = make(chan struct{})
 	d.pool = &httpconn.Pool{Dial: dial, Recognise: platform.Recognise}
 	d.forwarder = &forward.Forwarder{
-		Opened: d.opened, Dispatcher: d.dispatcher, Quota: d.quota, Budgets: d.budgets, Quarantine: d.quarantine, Logger: d.Logger, Metrics: d.metrics, Tracer: tracer,
+		Ready: d.opened, Dispatcher: d.dispatcher, Quota: d.quota, Budgets: d.budgets, Quarantine: d.quarantine, Logger: d.Logger, Metrics: d.metrics, Tracer: tracer,
 		Sender: &platform.Sender{Pool: d.pool},
 	}
 	d.front = &platform.Front{Forwarder: d.forwarder, Logger: d.Logger, MaxBodyBytes: s.MaxBodyBytes}
@@ -181,13 +181,13 @@
 	d.exchange = &peers.Exchange{
 		Self: self,
 		Dial: dial, Keys: rpc.FleetKeys(s.FleetKeys), Logger: d.Logger,
-		Beat: d.beat, OnBeat: d.onBeat, OnGone: d.onGone, OnReplaced: d.onReplaced, State: d.state,
-		News:       func() runworks.LimitUse { return d.quota.News(time.Now()) },
-		Limits:     func() runworks.LimitUse { return d.quota.Own(time.Now()) },
-		OnGreeting: d.onGreeting, OnSettled: d.takeHeld,
-		Suspects:    func() []runworks.Suspect { return d.quarantine.List(time.Now()) },
-		OnSuspects:  func(_ string, list []runworks.Suspect) { d.quarantine.Take(time.Now(), list) },
-		ServerWords: d.dispatcher.Words, OnServerWords: d.dispatcher.TakeWords, Lend: d.dispatcher.Lend,
+		Heartbeat: d.beat, OnHeartbeat: d.onBeat, OnUnreachable: d.onGone, OnReplaced: d.onReplaced, State: d.state,
+		LimitUpdates:  func() runworks.LimitUse { return d.quota.Updates(time.Now()) },
+		LimitSnapshot: func() runworks.LimitUse { return d.quota.FullUse(time.Now()) },
+		OnHandshake:   d.onGreeting, OnSettled: d.takeHeld,
+		Suspects:      func() []runworks.Suspect { return d.quarantine.List(time.Now()) },
+		OnSuspects:    func(_ string, list []runworks.Suspect) { d.quarantine.Apply(time.Now(), list) },
+		ServerNotices: d.dispatcher.ServerNotices, OnServerNotices: d.dispatcher.ApplyNotices, TransferPermits: d.dispatcher.TransferPermits,
 	}
 	d.suspects = &platform.Suspects{Store: d.store, Quarantine: d.quarantine, Front: s.Name, Logger: d.Logger, OnTried: d.takeHeld}
 	d.watch()
@@ -257,7 +257,7 @@
 		return runworks.ErrStopping
 	case d.forwarder.Table.Load() == nil:
 		return runworks.ErrNotReady
-	case !d.quota.Told(time.Now()):
+	case !d.quota.Ready(time.Now()):
 		return errorx.Decorate(runworks.ErrNotReady, "what customers drew before the start is not known")
 	case !d.exchange.Settled(time.Now()):
 		return errorx.Decorate(runworks.ErrNotReady, "no other front was heard yet")
@@ -294,7 +294,7 @@
 			d.Logger.Error("settings refused, the ones in force stay", "error", err.Error())
 			continue
 		}
-		d.budgets.SetRates(s.RetryRatio, s.RetrySlack)
+		d.budgets.Configure(s.RetryRatio, s.RetrySlack)
 		d.Logger.Info("settings read again", "retry_ratio", s.RetryRatio, "retry_slack", s.RetrySlack)
 	}
 }
--- a/daemon/front_follow.go
+++ b/daemon/front_follow.go
@@ -34,13 +34,13 @@
 	for subject, w := range d.watches {
 		d.asking[subject] = &atomic.Bool{}
 		w.Store, w.Logger = d.store, d.Logger
-		w.Fronts = func() int { return min(d.exchange.Live()+1, peers.Readers) }
-		w.Listeners = d.exchange.Live
-		w.Reads = d.exchange.Reads
+		w.Fronts = func() int { return min(d.exchange.LiveCount()+1, peers.StoreReaders) }
+		w.Listeners = d.exchange.LiveCount
+		w.Reads = d.exchange.ReadsStore
 		w.OnRead = func(from runworks.Position, page *platform.Page) { d.tell(subject, from, page) }
 	}
 	d.members = &platform.Members{Store: d.store, Self: d.exchange.Self, Logger: d.Logger, OnMembers: d.onMembers}
-	d.members.Fronts = func() int { return d.exchange.Live() + 1 }
+	d.members.Fronts = func() int { return d.exchange.LiveCount() + 1 }
 	d.limits = &platform.Limits{Store: d.store, Quota: d.quota, Logger: d.Logger, OnTold: d.takeHeld}
 }
 
@@ -85,7 +85,7 @@
 	if size > maxToldBytes {
 		return // they read it themselves, as their positions show it
 	}
-	d.exchange.Tell(peers.Change{Subject: subject, From: from, Next: page.Next, Records: page.Records})
+	d.exchange.SendChange(peers.Change{Subject: subject, From: from, Next: page.Next, Records: page.Records})
 }
 
 // told takes what another front read from the store.
@@ -123,7 +123,7 @@
 
 // askState asks another front for what it knows of a subject, and says whether it told.
 func (d *Front) askState(from string, subject peers.Subject, out any) bool {
-	err := d.exchange.AskState(context.Background(), from, subject, out)
+	err := d.exchange.RequestState(context.Background(), from, subject, out)
 	if err != nil {
 		d.Logger.Warn("another front could not be asked", "name", from, "subject", subject, "error", err.Error())
 	}
@@ -184,8 +184,8 @@
 	d.quota.RecordLost(time.Now())
 }
 
-func (d *Front) beat() peers.Beat {
-	b := peers.Beat{Load: d.dispatcher.Own(), Positions: map[peers.Subject]runworks.Position{}, RoutingVersion: d.routingVersion()}
+func (d *Front) beat() peers.Heartbeat {
+	b := peers.Heartbeat{Load: d.dispatcher.LocalLoad(), Positions: map[peers.Subject]runworks.Position{}, RoutingVersion: d.routingVersion()}
 	for subject, w := range d.watches {
 		b.Positions[subject] = w.Position()
 		b.StoreLost = b.StoreLost || w.Lost()
@@ -193,13 +193,13 @@
 	return b
 }
 
-func (d *Front) onBeat(now time.Time, b *peers.Beat) {
-	d.dispatcher.Report(b.From.Incarnation, b.Load)
-	d.quota.Report(now, b.From.Incarnation, b.Limits)
-	if b.Limits.Complete && d.quota.Asks(now) && d.exchange.Connected(b.From.Name) {
+func (d *Front) onBeat(now time.Time, b *peers.Heartbeat) {
+	d.dispatcher.SetPeerLoad(b.From.Incarnation, b.Load)
+	d.quota.ApplyUpdates(now, b.From.Incarnation, b.Limits)
+	if b.Limits.Complete && d.quota.NeedsState(now) && d.exchange.Connected(b.From.Name) {
 		d.ask(peers.SubjectLimits, func() { d.learnLimits(b.From.Name) })
 	}
-	d.budgets.SetEntries(d.exchange.Live() + 1)
+	d.budgets.SetEntries(d.exchange.LiveCount() + 1)
 	d.takeHeld()
 	for _, c := range b.Changes {
 		d.told(b.From.Name, &c)
@@ -216,37 +216,37 @@
 }
 
 // onGreeting takes what another front used of the customers' limits.
-func (d *Front) onGreeting(now time.Time, b *peers.Beat) {
-	d.quota.Greet(now, b.From.Incarnation, b.Limits)
+func (d *Front) onGreeting(now time.Time, b *peers.Heartbeat) {
+	d.quota.ApplyFullUse(now, b.From.Incarnation, b.Limits)
 }
 
 // learnLimits asks another front for what was drawn of the customers' limits before this
 // one's start, also by lives that are over.
 func (d *Front) learnLimits(from string) {
 	var s runworks.LimitState
-	if d.askState(from, peers.SubjectLimits, &s) && d.quota.TakeState(time.Now(), &s) {
+	if d.askState(from, peers.SubjectLimits, &s) && d.quota.ApplyState(time.Now(), &s) {
 		d.Logger.Info("limits told by another front", "name", from, "lives", len(s.Incarnations))
 		d.takeHeld()
 	}
 }
 
 func (d *Front) onReplaced(old runworks.Incarnation) {
-	d.dispatcher.Forget(old)
-	d.quota.Forget(time.Now(), old)
+	d.dispatcher.RemovePeer(old)
+	d.quota.EndIncarnation(time.Now(), old)
 }
 
 func (d *Front) onGone(from runworks.Incarnation) {
-	d.dispatcher.Lose(from)
+	d.dispatcher.MarkPeerUnreachable(from)
 }
 
 // onWant asks another front for what it has at hand of a backend server's limit.
-func (d *Front) onWant(loan *dispatch.Loan) {
+func (d *Front) onWant(loan *dispatch.PermitTransfer) {
 	asked := d.work.Go(func() {
-		n, err := d.exchange.Borrow(d.ctx, loan.Lender, peers.LendCall{Server: loan.Server, Requests: loan.Requests})
+		n, err := d.exchange.RequestPermits(d.ctx, loan.Donor, peers.PermitRequest{Server: loan.Server, Permits: loan.Permits})
 		if err != nil {
-			d.Logger.Warn("another front could not be asked for a loan", "incarnation", loan.Lender, "server", loan.Server, "error", err.Error())
+			d.Logger.Warn("another front could not be asked for a loan", "incarnation", loan.Donor, "server", loan.Server, "error", err.Error())
 		}
-		d.dispatcher.Borrowed(loan, n)
+		d.dispatcher.FinishTransfer(loan, n)
 	})
 	if !asked {
 		d.Logger.Info("no loan is asked for, the front stops", "server", loan.Server)
--- a/daemon/front_quarantine.go
+++ b/daemon/front_quarantine.go
@@ -9,7 +9,7 @@
 // onSuspect tells the other fronts what this one saw of a request, and puts it on record if
 // it is worth that.
 func (d *Front) onSuspect(s runworks.Suspect, record bool) {
-	d.exchange.TellSuspects(s)
+	d.exchange.SendSuspects(s)
 	if record {
 		d.suspects.Note(s.Fingerprint)
 	}
@@ -29,13 +29,13 @@
 
 // lift lets a request go to the servers again, at all fronts; it says whether it was known.
 func (d *Front) lift(fingerprint string) bool {
-	return d.quarantine.Lift(time.Now(), runworks.Fingerprint(fingerprint))
+	return d.quarantine.Release(time.Now(), runworks.Fingerprint(fingerprint))
 }
 
 // blameFor puts the end of a backend server, which its record tells, on the calls that it
 // had broken off.
 func (d *Front) blameFor(server *runworks.Instance) {
-	for _, f := range d.quarantine.Gone(time.Now(), server.IncarnationID()) {
+	for _, f := range d.quarantine.ServerRemoved(time.Now(), server.IncarnationID()) {
 		d.Logger.Warn("backend server gone that had broken a call off", "server", server.IncarnationID(), "service", server.Service, "fingerprint", f)
 	}
 }
--- a/daemon/front_routing.go
+++ b/daemon/front_routing.go
@@ -40,7 +40,7 @@
 	}
 	d.ask(peers.SubjectRouting, func() {
 		if d.isOpen() {
-			pause.For(d.ctx, routingGrace+time.Duration(d.exchange.Live())*routingPerFront)
+			pause.For(d.ctx, routingGrace+time.Duration(d.exchange.LiveCount())*routingPerFront)
 		}
 		if version > d.routingVersion() {
 			d.learn(from, peers.SubjectRouting, w)
--- a/daemon/front_servers.go
+++ b/daemon/front_servers.go
@@ -18,7 +18,7 @@
 	defer d.serversMu.Unlock()
 	now := time.Now()
 	if returned {
-		d.lapses.Returned(now)
+		d.lapses.StoreRestored(now)
 	}
 	for _, bad := range take(records) {
 		d.noteBadRecord(bad)
@@ -53,7 +53,7 @@
 	unnamed := make(map[string]bool)
 	out := list[:0]
 	for _, one := range list {
-		if table.Serves(one.Service) {
+		if table.HasService(one.Service) {
 			out = append(out, one)
 			continue
 		}
@@ -70,7 +70,7 @@
 // records the store may have lost, or may have from before they went.
 func (d *Front) putServers(now time.Time) {
 	list, again := d.lapses.Merge(now, d.named(d.servers.List()))
-	change := d.dispatcher.Replace(list)
+	change := d.dispatcher.SetServers(list)
 	if again > 0 {
 		d.Logger.Warn("records of backend servers are in doubt, looked at again in a while", "known", len(list), "for_ms", again.Milliseconds())
 		d.work.Go(func() {
@@ -83,13 +83,13 @@
 	for _, one := range change.Added {
 		d.Logger.Info("backend server known", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address, "hall", one.Hall, "leaving", one.Draining)
 	}
-	for _, one := range change.Left {
+	for _, one := range change.Withdrawn {
 		d.Logger.Info("backend server leaves", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
-	for _, one := range change.Gone {
+	for _, one := range change.Exited {
 		d.blameFor(&one)
 	}
-	for _, one := range change.Ended {
+	for _, one := range change.Restarted {
 		d.pool.Forget(one.Address)
 		d.Logger.Warn("backend server started again, its calls are lost", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
@@ -116,12 +116,12 @@
 }
 
 func (d *Front) onLimit(server runworks.Instance, c dispatch.LimitChange) {
-	if !c.Word.Named {
+	if !c.Limit.Named {
 		d.Logger.Info("backend server limits its requests no more", "server", server.IncarnationID(), "service", server.Service, "told_by", c.From)
 		return
 	}
-	d.Logger.Warn("backend server limits its requests", "server", server.IncarnationID(), "service", server.Service, "per_second", c.Word.PerSecond, "told_by", c.From,
-		"part_per_second", c.Part.PerSecond, "part_at_once", c.Part.AtOnce, "entries", c.Entries)
+	d.Logger.Warn("backend server limits its requests", "server", server.IncarnationID(), "service", server.Service, "per_second", c.Limit.PerSecond, "told_by", c.From,
+		"part_per_second", c.Share.PerSecond, "part_at_once", c.Share.Burst, "entries", c.Entries)
 }
 
 func (d *Front) onLeaving(server runworks.Instance, from string) {
--- a/daemon/front_status.go
+++ b/daemon/front_status.go
@@ -9,10 +9,10 @@
 
 // FrontStatus is what a front tells operators.
 type FrontStatus struct {
-	RoutingVersion int64           `json:"routing_version"`
-	Fronts         int             `json:"fronts"`
-	Servers        []dispatch.Load `json:"servers"`
-	Waiting        map[string]int  `json:"waiting"`
+	RoutingVersion int64                   `json:"routing_version"`
+	Fronts         int                     `json:"fronts"`
+	Servers        []dispatch.ServerStatus `json:"servers"`
+	Waiting        map[string]int          `json:"waiting"`
 	// LimitsUsed is what this front counts as drawn in the window, in tokens, by
 	// customer; fronts in touch agree on it.
 	LimitsUsed map[string]float64 `json:"limits_used"`
@@ -21,7 +21,7 @@
 }
 
 func (d *Front) status() FrontStatus {
-	out := FrontStatus{Fronts: d.exchange.Live() + 1, Servers: d.dispatcher.Loads(), Waiting: d.dispatcher.Waiting(), LimitsUsed: d.quota.Used(time.Now())}
+	out := FrontStatus{Fronts: d.exchange.LiveCount() + 1, Servers: d.dispatcher.ServerStatuses(), Waiting: d.dispatcher.WaitingCalls(), LimitsUsed: d.quota.Consumed(time.Now())}
 	out.Suspects = d.quarantine.Reports(time.Now())
 	if table := d.forwarder.Table.Load(); table != nil {
 		out.RoutingVersion = table.Routing.Version
--- a/daemon/front_stop.go
+++ b/daemon/front_stop.go
@@ -36,7 +36,7 @@
 	for ctx.Err() == nil && d.forwarder.Active() > 0 && time.Until(end) > shortCalls {
 		pause.For(ctx, stopCheck)
 	}
-	giveUp := time.AfterFunc(time.Until(end)-answerMargin, d.forwarder.GiveUp)
+	giveUp := time.AfterFunc(time.Until(end)-answerMargin, d.forwarder.AbortPending)
 	defer giveUp.Stop()
 	if err := server.Shutdown(ctx); err != nil {
 		d.Logger.Warn("planned stop cut short", "calls", d.forwarder.Active(), "error", err.Error())
--- a/daemon/front_suspend.go
+++ b/daemon/front_suspend.go
@@ -19,8 +19,8 @@
 // ages did not count it, but callers, the store and the other fronts did.
 func (d *Front) onWake(lost time.Duration) {
 	d.Logger.Warn("host was suspended", "lost_ms", lost.Milliseconds(), "calls", d.forwarder.Active())
-	d.forwarder.Lost(lost)
-	d.exchange.Lost(lost)
+	d.forwarder.AddSuspension(lost)
+	d.exchange.HostSuspended(lost)
 	d.store.Client.CloseIdleConnections()
 	for _, w := range d.watches {
 		w.Refresh()
--- a/doc.go
+++ b/doc.go
@@ -1,5 +1,5 @@
-// Package runworks holds the data and the interfaces of a request scheduler
-// for unlike engines: the configuration in force, the tickets that stand for
-// waiting requests, the outcome of a request, and what the scheduler expects
-// of backend servers and of the platform.
+// Package runworks defines the data types and interfaces of a request scheduler for
+// heterogeneous engines: the configuration, the reservations that represent waiting
+// requests, the outcome of a request, and the interfaces to backend servers and to the
+// platform.
 package runworks
--- a/headers.go
+++ b/headers.go
@@ -1,22 +1,22 @@
 package runworks
 
-// The headers that runworks adds to HTTP, in the form net/http keeps them.
+// HTTP headers defined by runworks, in the canonical form of net/http.
 const (
-	// HeaderOutcome tells a caller the outcome of a request that is not done.
+	// HeaderOutcome is the outcome of a request that did not complete, sent to the caller.
 	HeaderOutcome = "Runworks-Outcome"
-	// HeaderAttempt is not-run if this call itself did nothing, whatever an
-	// earlier call under the same key did.
+	// HeaderAttempt is not-run if this call itself had no effect, even if an earlier call
+	// with the same idempotency key ran.
 	HeaderAttempt = "Runworks-Attempt"
-	// HeaderRequestID names the request, to callers and to backend servers.
+	// HeaderRequestID is the request's ID, sent to callers and to backend servers.
 	HeaderRequestID = "Runworks-Request-Id"
-	// HeaderRank tells a backend server the rank of a request's tier.
+	// HeaderRank is the rank of the request's tier, sent to backend servers.
 	HeaderRank = "Runworks-Rank"
-	// HeaderTier is the caller's wish for a tier, by name.
+	// HeaderTier is the name of the tier requested by the caller.
 	HeaderTier = "Runworks-Tier"
-	// HeaderKind is the request kind, as the rules name it.
+	// HeaderKind is the request kind, as used in rules.
 	HeaderKind = "Runworks-Kind"
 	// HeaderTimeout is the caller's time limit, as a Go duration such as 30s.
 	HeaderTimeout = "Runworks-Timeout"
-	// HeaderIdempotencyKey is the caller's key for a request, a UUIDv7.
+	// HeaderIdempotencyKey is the caller's idempotency key for a request, a UUIDv7.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
--- a/host_list.go
+++ b/host_list.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// HostRole says which process of the system a host runs.
+// HostRole identifies the runworks program that a host runs.
 type HostRole string
 
 // The roles of a host.
@@ -11,20 +11,20 @@
 	RoleAgent HostRole = "agent"
 )
 
-// Host is one line of the platform's host list.
+// Host is an item of the platform's host list.
 type Host struct {
 	Name string   `json:"name"`
 	Role HostRole `json:"role"`
-	// Hall is where the host stands.
+	// Hall is the hall in which the host is located.
 	Hall string `json:"hall"`
-	// Address is host:port of the process between entries and agents.
+	// Address is the host:port at which entries and agents reach the process.
 	Address string `json:"address"`
-	// Draining is set once the host is to go away.
+	// Draining is set once the host is about to be removed.
 	Draining bool `json:"leaving,omitempty"`
 }
 
-// HostList is the platform's lagging list of live and leaving hosts.
+// HostList is the platform's list of live and draining hosts. It lags behind the actual state.
 type HostList interface {
-	// Hosts gives the list as the platform sees it now.
+	// Hosts returns the platform's current list.
 	Hosts(ctx context.Context) ([]Host, error)
 }
--- a/inbound.go
+++ b/inbound.go
@@ -9,50 +9,51 @@
 	"time"
 )
 
-// Inbound is one attempt of a caller, decoded by the front door.
+// Inbound is one call received from a caller, as decoded by the HTTP front end.
 type Inbound struct {
-	// ID is the caller's, new for each attempt.
+	// ID is chosen by the caller and differs for each attempt.
 	ID     RequestID
 	Method string
-	// Target is path and query with their escapes, as they came.
+	// Target is the path and query as received, still escaped.
 	Target string
 	Host   string
-	// Path is the target's path with its escapes.
+	// Path is the path of Target, still escaped.
 	Path string
-	// Header is what is passed on to a backend server.
+	// Header holds the headers that are forwarded to a backend server.
 	Header http.Header
 	Body   []byte
-	// APIKey tells who calls; empty if none was sent.
+	// APIKey identifies the customer; empty if none was sent.
 	APIKey string
-	// Received is when the call had been read.
+	// Received is the time at which the call had been read.
 	Received time.Time
-	// Timeout is how long the caller waits from Received on; 0 is not told.
+	// Timeout is how long the caller waits, counted from Received; 0 means unknown.
 	Timeout time.Duration
-	// PromptTokens and MaxTokens are the sizes that the caller states; 0 if not.
+	// PromptTokens and MaxTokens are the sizes stated by the caller; 0 if not stated.
 	PromptTokens int
 	MaxTokens    int
-	// ExpectedTokens is the caller's guess of the answer's length; 0 if none.
+	// ExpectedTokens is the caller's estimate of the response length in tokens; 0 if none.
 	ExpectedTokens int
-	// PromptPrefix names the last part of the prompt; equal ones share memory of the
-	// prompt at an engine. Empty if not told.
+	// PromptPrefix is the ID of the last segment of the prompt's prefix. Calls with the same
+	// ID share an engine's prompt cache. Empty if not stated.
 	PromptPrefix string
-	// CallerDisconnected says whether the caller has closed its connection; nil is not known.
+	// CallerDisconnected reports whether the caller closed its connection; nil if unknown.
 	CallerDisconnected func() bool
 }
 
-// Fingerprint names what a call asks for and who asks: a call that comes again, at any
-// entry and under a new id, has the same.
+// Fingerprint identifies the content of a call and its customer. It is the same when the call
+// is repeated, at any entry and with a new ID.
 type Fingerprint string
 
-// fingerprintBytes of a SHA-256 hash are enough that nobody finds two calls with the same.
+// fingerprintBytes is the number of bytes kept of a SHA-256 hash; finding a collision of 128
+// bits is infeasible.
 const fingerprintBytes = 16
 
-// Fingerprint gives the call's; customer is who asks, empty if nobody is known. The key is
-// no part of it: a customer may have several.
+// Fingerprint returns the fingerprint of the call; customer is the customer's name, empty if
+// unknown. The API key is not included, since a customer may have several.
 func (in *Inbound) Fingerprint(customer string) Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{customer, in.Method, in.Host, in.Target} {
-		// Lengths keep the end of a part from counting as the begin of the next.
+		// The length prefix keeps the boundary between two fields unambiguous.
 		_, _ = h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
 		_, _ = h.Write([]byte(field))
 	}
@@ -60,8 +61,8 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
-// Tokens is what the call costs of a customer's limit; plain is the cost of a
-// call that states no tokens.
+// Tokens returns the number of tokens that the call consumes of a customer's limit, or
+// defaultCost if the call states none.
 func (in *Inbound) Tokens(defaultCost float64) float64 {
 	if in.PromptTokens+in.MaxTokens == 0 {
 		return defaultCost
@@ -69,68 +70,70 @@
 	return float64(in.PromptTokens + in.MaxTokens)
 }
 
-// Send is one call to one backend server.
+// Send is one call to be sent to one backend server.
 type Send struct {
 	Inbound *Inbound
 	To      Instance
-	// Customer is told to the backend server; empty if nobody is known.
+	// Customer is the customer's name, sent to the backend server; empty if unknown.
 	Customer string
-	// TimeLeft is the time that the backend server may work on it.
+	// TimeLeft is the time the backend server has to process the call.
 	TimeLeft time.Duration
-	// LastEventID is the last event of a stream that is to go on; empty at first.
+	// LastEventID is the ID of the last event received when a stream is resumed, otherwise
+	// empty.
 	LastEventID string
-	// BeforeSend is asked just before the first byte leaves; its error keeps the call from
-	// being sent. Nil is always wanted.
+	// BeforeSend is called just before the first byte is sent; if it returns an error, the call
+	// is not sent. It may be nil.
 	BeforeSend func() error
 }
 
-// ServerReply is a backend server's answer; the caller closes Body.
+// ServerReply is a backend server's response with its server report. The caller must close
+// Body.
 type ServerReply struct {
 	Reply
-	// NotRun is the backend server's word that it did not run the call.
+	// NotRun is set if the backend server reported that it did not run the call.
 	NotRun bool
-	// AddressReused says that another backend server has this address now.
+	// AddressReused is set if another backend server now has this address.
 	AddressReused bool
-	// Report is what it says of itself; WordErr says what of it can't be read, which counts as
-	// not told.
+	// Report is the server report. ReportErr describes the parts of it that could not be
+	// parsed; these are treated as absent.
 	Report    ServerReport
 	ReportErr error
 }
 
 // Sender sends calls to backend servers.
 type Sender interface {
-	// Send sends one call, at most once. The error is that of Send.Wanted, or
-	// ErrNotDispatched, only if the call provably never left, else ErrBackend.
+	// Send sends one call, at most once. The error is the one returned by Send.BeforeSend, or
+	// ErrNotDispatched only if the call was certainly not sent, and ErrBackend otherwise.
 	Send(ctx context.Context, s *Send) (*ServerReply, error)
-	// WatchExit calls ended if a backend server's process is proved to be gone, before it
-	// returns or a moment later.
+	// WatchExit calls ended if the backend server's process is proven to have exited, either
+	// before WatchExit returns or shortly after.
 	WatchExit(ctx context.Context, server Instance, ended func())
 }
 
-// RunningCalls is how many calls an entry has at each backend server, by its id.
+// RunningCalls is the number of calls an entry has at each backend server, by server ID.
 type RunningCalls map[string]int
 
-// WaitingCalls are the calls of the highest rank that wait at an entry, by service.
+// WaitingCalls are the calls of the highest waiting rank at an entry, by service.
 type WaitingCalls map[string]WaitingCall
 
-// WaitingCall tells of the calls that wait at an entry for one service.
+// WaitingCall describes the calls that wait at an entry for one service.
 type WaitingCall struct {
-	// Rank is the highest rank of a call that waits, 0 being the highest there is.
+	// Rank is the highest rank among the waiting calls; 0 is the highest possible.
 	Rank int `json:"rank"`
-	// Calls is how many of that rank wait.
+	// Calls is the number of waiting calls of that rank.
 	Calls int `json:"calls"`
 }
 
-// EntryLoad is what an entry tells the others of the calls that it has.
+// EntryLoad is an entry's own load, as it reports it to the other entries.
 type EntryLoad struct {
 	Running RunningCalls `json:"running,omitempty"`
 	Waiting WaitingCalls `json:"waiting,omitempty"`
-	// ConsecutiveFailures is how many calls in a row were answered by a failure of a backend
-	// server's own, by its id.
+	// ConsecutiveFailures is the number of consecutive calls that failed because of the
+	// backend server itself, by server ID.
 	ConsecutiveFailures map[string]int `json:"failed,omitempty"`
-	// UnreadPromptTokens is how many tokens of its calls' prompts each backend server still reads,
-	// by its id, as far as it matters to others.
+	// UnreadPromptTokens is the number of prompt tokens of this entry's calls that a backend
+	// server has not processed yet, by server ID, where it matters to other entries.
 	UnreadPromptTokens map[string]int `json:"reading,omitempty"`
-	// Ejected are the ids of the backend servers that failed this entry of late.
+	// Ejected are the IDs of the backend servers that recently failed calls of this entry.
 	Ejected []string `json:"left_out,omitempty"`
 }
--- a/inbound_bench_test.go
+++ b/inbound_bench_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// BenchmarkFingerprint reckons the fingerprint of a call with a body of 8 KB: 7.4 us, 88
-// bytes and 5 allocations (beside other runs); a short call takes some 200 us of a front.
+// BenchmarkFingerprint measures the fingerprint of a call with an 8 KB body. It took 7.4 us,
+// 88 bytes and 5 allocations, small against the 200 us that a front spends on a short call.
 func BenchmarkFingerprint(b *testing.B) {
 	in := &Inbound{Method: "POST", Host: "yard.example", Target: "/chat/long/1", Body: make([]byte, 8<<10)}
 	b.ReportAllocs()
--- a/inbound_test.go
+++ b/inbound_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// TestFingerprint knows a call again that comes under another id, key and time, and tells
-// calls apart that differ in anything they ask for.
+// TestFingerprint checks that a repeated call has the same fingerprint under another ID, API
+// key and stated size, and that calls with different content have different ones.
 func TestFingerprint(t *testing.T) {
 	is := is.New(t)
 	base := Inbound{ID: "1", Method: "POST", Host: "h", Target: "/a/b?c", Path: "/a/b", Body: []byte("body"), APIKey: "k"}
--- a/limits.go
+++ b/limits.go
@@ -2,66 +2,69 @@
 
 import "time"
 
-// ManyEntriesThreshold is from how many other entries on an entry hears those of other halls less
-// often, and rather uses the backend servers of its own hall, whose load it knows better.
+// ManyEntriesThreshold is the number of other entries above which an entry receives the
+// heartbeats of remote halls less often, and therefore prefers the backend servers of its own
+// hall, whose load it knows more precisely.
 const ManyEntriesThreshold = 48
 
-// EntryTimeout is when a silent entry counts as gone: until then it may draw on the
-// limits and send to backend servers, only out of touch with this one.
+// EntryTimeout is the time since an entry was last seen after which it is considered gone.
+// Until then it may still consume limits and send to backend servers, with only the
+// connection to this entry lost.
 const EntryTimeout = 10 * time.Second
 
-// LimitUse is what one life of an entry used of the customers' limits, as it tells the
-// others in each heartbeat.
+// LimitUse is what one incarnation of an entry consumed of the customers' limits, as it
+// reports it to the other entries in each heartbeat.
 type LimitUse struct {
-	// Version counts the changes: of two tellings of one life the higher is the newer.
+	// Version counts the changes; of two reports of one incarnation the higher is the newer.
 	Version int64 `json:"version"`
-	// RecordsWritten is how often the entry put a LimitRecord on the store.
+	// RecordsWritten is how often the entry wrote a LimitRecord to the store.
 	RecordsWritten int64 `json:"records,omitempty"`
-	// Complete says that the entry counted a whole window itself, or was told by one
-	// that did.
+	// Complete is set if the entry counted a whole window itself, or received the state of an
+	// entry that did.
 	Complete bool `json:"complete,omitempty"`
-	// Customers holds those that drew in the window or wait, by name; a heartbeat's are
-	// only those of which there is something new to tell.
+	// Customers holds the customers that consumed tokens in the window or have waiting calls,
+	// by name. A heartbeat holds only those that changed.
 	Customers map[string]CustomerUse `json:"customers,omitempty"`
 }
 
-// CustomerUse is what one life of an entry used of one customer's limit, in tokens.
+// CustomerUse is what one incarnation of an entry consumed of one customer's limit, in tokens.
 type CustomerUse struct {
-	// Consumed is what calls drew since the life's start, less what was given back.
+	// Consumed is the total since the incarnation started, less refunds.
 	Consumed float64 `json:"drawn"`
-	// ConsumedInWindow is the part of it that was drawn in the window.
+	// ConsumedInWindow is the part of Consumed that falls in the window.
 	ConsumedInWindow float64 `json:"used"`
-	// Reserved is set aside for calls that wait.
+	// Reserved is the amount set aside for waiting calls.
 	Reserved float64 `json:"held,omitempty"`
-	// Recent is Used by the time of the draws; heartbeats do not tell it.
+	// Recent is ConsumedInWindow broken down by time; heartbeats omit it.
 	Recent []RecentUse `json:"recent,omitempty"`
 }
 
-// RecentUse is what was drawn in a short span.
+// RecentUse is what was consumed in a short time span.
 type RecentUse struct {
-	// AgeMs is how long ago the span ended, in milliseconds.
+	// AgeMs is the time since the span ended, in milliseconds.
 	AgeMs int64 `json:"age_ms"`
-	// Tokens is what was drawn in it.
+	// Tokens is the number of tokens consumed in the span.
 	Tokens float64 `json:"tokens"`
 }
 
-// LimitState is all that an entry counts of the customers' limits: what a new life of
-// an entry needs to go on where the others stand.
+// LimitState is an entry's complete count of the customers' limits. A new incarnation of an
+// entry starts from the state of another entry.
 type LimitState struct {
-	// Complete says that nothing of the window is missing.
+	// Complete is set if the state covers the whole window.
 	Complete bool `json:"complete"`
-	// Incarnations holds the use by each life of an entry that drew in the window.
+	// Incarnations holds the use of each incarnation of an entry that consumed tokens in the
+	// window.
 	Incarnations map[Incarnation]LimitUse `json:"lives"`
 }
 
-// LimitRecord is what all entries used of the limits in the window, for the time after
-// all of them ended.
+// LimitRecord is what all entries consumed of the limits in the window. It is stored so that
+// the count survives a stop of all entries.
 type LimitRecord struct {
-	// At is when it was written, by the writer's time of day.
+	// At is when the record was written, by the writer's wall clock.
 	At time.Time `json:"at"`
-	// Use adds up all lives.
+	// Use is the sum over all incarnations.
 	Use LimitUse `json:"use"`
-	// Consumed is each life's part of it, in tokens by customer; told only while no entry has
-	// counted a whole window. What a life tells itself counts in its place.
+	// Consumed is each incarnation's part of Use, in tokens by customer, set only while no entry
+	// has counted a whole window. What an incarnation reports itself replaces its part.
 	Consumed map[Incarnation]map[string]float64 `json:"drawn,omitempty"`
 }
--- a/log_service.go
+++ b/log_service.go
@@ -8,9 +8,9 @@
 	Data   []byte `json:"data"`
 }
 
-// LogPage is a run of records, with the bounds of what the log holds.
+// LogPage is a sequence of consecutive records, with the bounds of the log.
 type LogPage struct {
-	// First is the first offset retained; Next is the offset the next record gets.
+	// First is the lowest retained offset; Next is the offset of the next record to be appended.
 	First   int64       `json:"first"`
 	Next    int64       `json:"next"`
 	Records []LogRecord `json:"records"`
@@ -18,15 +18,16 @@
 
 // LogService is the platform's append-only log.
 type LogService interface {
-	// Append adds a record and gives its offset; after an error the record may
-	// have been added all the same.
+	// Append adds a record and returns its offset. After an error the record may still have
+	// been added.
 	Append(ctx context.Context, data []byte) (int64, error)
-	// Read gives records from an offset on; ErrTruncated if the log has dropped it.
+	// Read returns the records starting at offset from, or ErrTruncated if the log no longer
+	// holds that offset.
 	Read(ctx context.Context, from int64) (*LogPage, error)
 }
 
-// Record is one record of what entries follow on a platform's store; an empty value says
-// that the key is gone.
+// Record is one record of a topic on the platform's store. An empty value means that the key
+// was deleted.
 type Record struct {
 	Key   string
 	Value []byte
--- a/request.go
+++ b/request.go
@@ -9,58 +9,57 @@
 	"github.com/google/uuid"
 )
 
-// RequestID names one request between entry and agent.
+// RequestID identifies one request between entry and agent.
 type RequestID string
 
-// Incarnation names one life of a process; it is new at every start.
+// Incarnation identifies one run of a process; it differs at every start.
 type Incarnation string
 
-// Call is what a backend server is sent.
+// Call is the HTTP request sent to a backend server.
 type Call struct {
-	// Method is the HTTP method.
 	Method string `json:"method"`
-	// Path is the path and query below the backend server's address.
+	// Path is the path and query, relative to the backend server's address.
 	Path string `json:"path"`
-	// Header is what the caller sent, less what concerns runworks alone.
+	// Header holds the caller's headers without those meant only for runworks.
 	Header http.Header `json:"header,omitempty"`
-	// Body is sent as it came.
+	// Body is forwarded unchanged.
 	Body []byte `json:"-"`
 }
 
-// Reservation stands for a waiting request at an agent; it has no side effects.
+// Reservation represents a request that waits at an agent. Creating or dropping it has no side
+// effects.
 type Reservation struct {
 	ID RequestID `json:"id"`
-	// Service is the service asked for.
+	// Service is the name of the requested service.
 	Service string `json:"service"`
 	// Tier is the rank of the request's tier; 0 is the highest.
 	Tier int `json:"tier"`
-	// Customer is who asks.
+	// Customer is the customer's name.
 	Customer string `json:"customer"`
 	// Weight is the customer's share within the tier.
 	Weight float64 `json:"weight,omitempty"`
 	// PromptTokens is the estimated length of the prompt in tokens.
 	PromptTokens int `json:"prompt_tokens,omitempty"`
-	// MaxTokens is the most tokens the answer may have.
+	// MaxTokens is the maximum length of the response in tokens.
 	MaxTokens int `json:"max_tokens,omitempty"`
-	// TimeLeft is the time left until the request's time limit.
+	// TimeLeft is the time left until the request's deadline.
 	TimeLeft time.Duration `json:"left"`
 }
 
-// Cost is the ticket's estimated work in tokens, at least 1.
+// Cost returns the estimated work in tokens, at least 1.
 func (t *Reservation) Cost() float64 {
 	return float64(max(t.PromptTokens+t.MaxTokens, 1))
 }
 
-// Request is an admitted request, owned by one entry until its answer is given.
+// Request is an admitted request, owned by one entry until it is answered.
 type Request struct {
 	ID RequestID
-	// Call is what the backend server will get.
+	// Call is the call to send to the backend server.
 	Call Call
-	// Kind says whether an engine or a plain server does the work.
-	Kind ServiceKind
-	// Service is the service's name.
+	// Kind is the kind of the service.
+	Kind    ServiceKind
 	Service string
-	// Customer is the name of who asks.
+	// Customer is the customer's name.
 	Customer string
 	// Weight is the customer's share within the tier.
 	Weight float64
@@ -69,18 +68,18 @@
 	Rank int
 	// Deadline is the end of the time limit, on the entry's monotonic clock.
 	Deadline time.Time
-	// Repeatable says whether a plain call may be tried again after it ran.
+	// Repeatable is set if a call to a plain service may be retried after it ran.
 	Repeatable bool
-	// IdempotencyKey is the caller's idempotency key, empty without one.
+	// IdempotencyKey is the caller's idempotency key; empty if none was sent.
 	IdempotencyKey string
 	// PromptTokens and MaxTokens estimate the work in tokens.
 	PromptTokens int
 	MaxTokens    int
-	// Trace carries the trace context to the agent.
+	// Trace is the trace context propagated to the agent.
 	Trace map[string]string
 }
 
-// Reservation gives the ticket that stands for the request at the time now.
+// Reservation returns the reservation for the request at the time now.
 func (r *Request) Reservation(now time.Time) Reservation {
 	return Reservation{
 		ID: r.ID, Service: r.Service, Tier: r.Rank, Customer: r.Customer, Weight: r.Weight,
@@ -88,16 +87,17 @@
 	}
 }
 
-// Attempt names the n-th placement of a request; an agent sees each name once.
+// Attempt returns the ID of the n-th placement of a request. An agent receives each such ID
+// only once.
 func (id RequestID) Attempt(n int) RequestID {
 	return id + RequestID("."+strconv.Itoa(n))
 }
 
-// Base gives the request that an attempt belongs to.
+// Base returns the ID of the request that an attempt belongs to.
 func (id RequestID) Base() RequestID {
 	base, _, _ := strings.Cut(string(id), ".")
 	return RequestID(base)
 }
 
-// NewIncarnation makes the name of a process's life, at its start.
+// NewIncarnation returns a new random incarnation ID.
 func NewIncarnation() Incarnation { return Incarnation(uuid.NewString()) }
--- a/route.go
+++ b/route.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CallKind says how often a call may run.
+// CallKind determines how often a call may run.
 type CallKind string
 
 // The kinds of call.
@@ -14,15 +14,15 @@
 	CallRepeatable CallKind = "repeatable"
 	// CallOnce runs at most once.
 	CallOnce CallKind = "once"
-	// CallStream is answered by a stream of events; it runs at most once unless
-	// its route is resumable.
+	// CallStream is answered by a stream of events. It runs at most once unless its route is
+	// resumable.
 	CallStream CallKind = "stream"
 )
 
-// Routing is the intended state for callers who are told apart by host and
-// path, as one version of the operators' document gives it.
+// Routing is the desired state for calls routed by host and path, as defined by one version
+// of the operators' document.
 type Routing struct {
-	// Version rises with every change, in uneven steps.
+	// Version rises with every change, not necessarily by 1.
 	Version   int64
 	Routes    []Route
 	Services  []RoutedService
@@ -30,33 +30,33 @@
 	Limits    CallLimits
 }
 
-// Route sends the calls below a path of a host to services.
+// Route maps the calls below a path prefix of a host to services.
 type Route struct {
 	Name string
 	Host string
-	// PathPrefix begins and ends with a slash; the longest that fits wins.
+	// PathPrefix begins and ends with a slash; the longest matching prefix wins.
 	PathPrefix string
 	Kind       CallKind
-	// Resumable says that a stream may be taken up again after an event.
+	// Resumable is set if a stream can be resumed after an event.
 	Resumable bool
-	// Timeout is the longest time that a call is held.
+	// Timeout is the maximum duration of a call.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, that
-	// callers expect.
+	// Target is the latency that callers expect: the time to the response, or to the first
+	// event of a stream.
 	Target time.Duration
 	// MaxGap is the longest pause between events that callers expect.
 	MaxGap time.Duration
-	// Rank orders the calls: 0 is the highest.
+	// Rank is the priority of the calls; 0 is the highest.
 	Rank int
-	// MaxAttempts bounds the backend servers on which one call runs.
+	// MaxAttempts limits the number of backend servers on which one call runs.
 	MaxAttempts int
-	// Public says that no key is needed.
+	// Public is set if no API key is required.
 	Public bool
-	// Shares are the services that take the calls, by weight.
+	// Shares are the services that receive the calls, with their weights.
 	Shares []ServiceShare
 }
 
-// ServiceShare is a service's part of a route's calls.
+// ServiceShare is a service and its weight within a route.
 type ServiceShare struct {
 	Service string
 	Weight  int
@@ -66,27 +66,27 @@
 type RoutedService struct {
 	Name string
 	Kind ServiceKind
-	// MaxConnections bounds the connections that one backend server takes from
-	// all entries together; 0 is not told.
+	// MaxConnections limits the connections of all entries to one backend server; 0 means not
+	// specified.
 	MaxConnections int
 }
 
-// RoutedCustomer is who calls, with a limit in tokens over all entries.
+// RoutedCustomer is a customer with a token limit that applies across all entries.
 type RoutedCustomer struct {
 	Name string
-	// KeySHA256 are the SHA-256 hashes of the customer's keys, in hexadecimal.
+	// KeySHA256 are the hex-encoded SHA-256 hashes of the customer's API keys.
 	KeySHA256 []string
-	// Rank takes the place of the route's rank, unless nil.
+	// Rank overrides the route's rank unless nil.
 	Rank *int
-	// TokensPerSecond bounds the tokens asked for; 0 is no bound.
+	// TokensPerSecond limits the requested tokens per second; 0 means no limit.
 	TokensPerSecond float64
-	// TokenBurst is how many tokens may be asked for at once beyond that.
+	// TokenBurst is the number of tokens that may be requested at once beyond that rate.
 	TokenBurst float64
-	// TokensPerCall is the cost of a call that states no tokens.
+	// TokensPerCall is the cost in tokens of a call that states none.
 	TokensPerCall float64
 }
 
-// CallLimits bound what a caller may send, and how long it may stay idle.
+// CallLimits limit the size of a caller's request and the time a caller may stay idle.
 type CallLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -94,32 +94,32 @@
 	IdleTimeout    time.Duration
 }
 
-// Instance is one life of a discovered backend server.
+// Instance is one incarnation of a discovered backend server.
 type Instance struct {
-	// ID names the server; a start may keep it.
+	// ID identifies the server; it may stay the same across restarts.
 	ID string
-	// Generation tells lives of one ID apart, the newest being the highest; 0 is not told.
+	// Generation rises with each start under the same ID; 0 means unknown.
 	Generation int64
-	// Service is the service it belongs to.
+	// Service is the name of the service the server belongs to.
 	Service string
 	// Address is host:port.
 	Address string
-	// Hall is where it stands.
+	// Hall is the hall in which the server is located.
 	Hall string
-	// Slots is how many calls it runs at once.
+	// Slots is the number of calls the server runs concurrently.
 	Slots int
-	// Draining says that it will end, by its own word, and gets no new calls.
+	// Draining is set if the server reported that it will exit; it receives no new calls.
 	Draining bool
-	// Unreadable says that its newest record can't be read: it gets no new calls as long as
-	// that stands.
+	// Unreadable is set while the server's newest record can't be parsed; it receives no new
+	// calls until a readable record arrives.
 	Unreadable bool
 }
 
-// Unavailable says whether the server gets no new calls, by its record.
+// Unavailable reports whether the server's record bars it from new calls.
 func (i *Instance) Unavailable() bool { return i.Draining || i.Unreadable }
 
-// IncarnationID names this life of the backend server among all entries: what one learned of a life
-// must not count for the next.
+// IncarnationID returns an ID of this incarnation that is the same at all entries. What was
+// learned about one incarnation must not be applied to the next.
 func (i *Instance) IncarnationID() string {
 	if i.Generation == 0 {
 		return i.ID
--- a/routers/callers/engine.go
+++ b/routers/callers/engine.go
@@ -72,8 +72,8 @@
 }
 
 // newAsk reads what every call may say in its header.
-func newAsk(r *http.Request) (*admission.Ask, error) {
-	ask := &admission.Ask{
+func newAsk(r *http.Request) (*admission.Request, error) {
+	ask := &admission.Request{
 		Key:            bearer(r),
 		Kind:           r.Header.Get(runworks.HeaderKind),
 		Tier:           r.Header.Get(runworks.HeaderTier),
--- a/routers/callers/routes.go
+++ b/routers/callers/routes.go
@@ -64,7 +64,7 @@
 }
 
 // serve admits a call and passes its answer on.
-func (rt *Routes) serve(ctx context.Context, w http.ResponseWriter, ask *admission.Ask) {
+func (rt *Routes) serve(ctx context.Context, w http.ResponseWriter, ask *admission.Request) {
 	admitted, err := rt.Admission.Admit(ask)
 	if err != nil {
 		writeFailure(w, "", err)
--- a/server_report.go
+++ b/server_report.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// ServerReport is what a backend server says of itself in an answer. It is the word of one life,
-// and stands beside what that life's record says: a record comes late, or not at all while the
-// store is away.
+// ServerReport is the status that a backend server attaches to a response. It applies to one
+// incarnation and complements that incarnation's record on the store, which may arrive late,
+// or not at all while the store is unavailable.
 type ServerReport struct {
-	// Limit is what it says of the requests that it takes; nil is not known.
+	// Limit is the server's rate limit; nil if unknown.
 	Limit *RateLimit
-	// Draining says that it will end, and is to get nothing more from any entry.
+	// Draining is set if the server will exit and must receive no more calls from any entry.
 	Draining bool
-	// Backoff is for how long it wants nothing from the entry that it answers; 0 asks for none.
+	// Backoff is the time for which the entry that receives the response must send nothing to
+	// the server; 0 if none was requested.
 	Backoff time.Duration
-	// Load is what it has to do; nil is not told.
+	// Load is the server's current load; nil if not reported.
 	Load *ServerLoad
 }
 
-// ServerLoad is a backend server's own count of what it has to do.
+// ServerLoad is the load that a backend server reports.
 type ServerLoad struct {
-	// Running and Waiting are the requests that it works on, and those that it queues.
+	// Running and Waiting are the numbers of requests being processed and queued.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Slots is how many it works on at once.
+	// Slots is the number of requests the server processes concurrently.
 	Slots int `json:"slots"`
-	// Slowness is how many times as long as usual its work takes; 0 is not told.
+	// Slowness is the current processing time as a multiple of the usual one; 0 if unknown.
 	Slowness float64 `json:"slowness,omitempty"`
 }
 
-// RateLimit is a backend server's word, in an answer, of how many requests it takes.
+// RateLimit is the request rate that a backend server accepts, as stated in a response.
 type RateLimit struct {
-	// Named says that it names a limit; else it takes what its slots hold.
+	// Named is set if the server stated a limit; otherwise only its slots limit it.
 	Named bool `json:"named,omitempty"`
-	// PerSecond is what it takes from all entries together, in requests a second.
+	// PerSecond is the limit for all entries together, in requests per second.
 	PerSecond float64 `json:"per_second,omitempty"`
 }
 
-// ServerNotice is what an entry tells the others of a backend server's words to all of them.
-// A rest is asked of one entry, and is none of them.
+// ServerNotice is the part of a backend server's reports that entries pass on to each other.
+// It has no back-off, since a server requests that of a single entry.
 type ServerNotice struct {
-	// Server is Instance.Life.
+	// Server is the server's Instance.IncarnationID.
 	Server string `json:"server"`
-	// Draining says that it will end; that holds as long as it lives.
+	// Draining is set if the server will exit; this holds for the rest of the incarnation.
 	Draining bool `json:"leaving,omitempty"`
-	// Limit is its newest word of the requests that it takes, and LimitAgeMs how many
-	// milliseconds ago it gave that; nil tells nothing.
+	// Limit is the server's latest rate limit, and LimitAgeMs the time since it was stated, in
+	// milliseconds; a nil Limit carries no information.
 	Limit      *RateLimit `json:"limit,omitempty"`
 	LimitAgeMs int64      `json:"limit_age_ms,omitempty"`
 }
 
-// AgedBy gives the notice as it reads a time after it was told.
+// AgedBy returns the notice as it reads when d has passed since it was sent.
 func (n ServerNotice) AgedBy(d time.Duration) ServerNotice {
 	if n.Limit != nil {
 		n.LimitAgeMs += d.Milliseconds()
@@ -56,7 +57,7 @@
 	return n
 }
 
-// Merge gives the notice with what an older one says beyond it.
+// Merge returns the notice, completed by what an older one has beyond it.
 func (n ServerNotice) Merge(older ServerNotice) ServerNotice {
 	n.Draining = n.Draining || older.Draining
 	if n.Limit == nil {
--- a/services/admission/admit.go
+++ b/services/admission/admit.go
@@ -14,8 +14,8 @@
 
 const retryNotReady = time.Second
 
-// Ask is what a caller wants, as its call says.
-type Ask struct {
+// Request is what a caller wants, as its call says.
+type Request struct {
 	// Key is the customer's key.
 	Key string
 	// Model names the model for an engine; Service the service for a plain call.
@@ -68,7 +68,7 @@
 
 // Admit lets a call in as a request, or gives a Failure: not-run in every case,
 // but that a call with an idempotency key speaks for itself alone.
-func (a *Admission) Admit(ask *Ask) (*Admitted, error) {
+func (a *Admission) Admit(ask *Request) (*Admitted, error) {
 	admitted, err := a.admit(ask)
 	if err == nil || !minted(ask.IdempotencyKey) {
 		return admitted, err
@@ -76,7 +76,7 @@
 	return nil, keyedRefusal(err)
 }
 
-func (a *Admission) admit(ask *Ask) (*Admitted, error) {
+func (a *Admission) admit(ask *Request) (*Admitted, error) {
 	now, customer, err := a.Customer(ask.Key)
 	if err != nil {
 		return nil, err
@@ -112,7 +112,7 @@
 	return failure
 }
 
-func findService(now *config.InForce, ask *Ask) (*runworks.Service, error) {
+func findService(now *config.InForce, ask *Request) (*runworks.Service, error) {
 	if ask.Service != "" {
 		service := now.Service(ask.Service)
 		if service == nil || service.Kind != runworks.KindPlain {
@@ -128,7 +128,7 @@
 }
 
 // newRequest builds the request that the rule allows.
-func newRequest(now *config.InForce, customer *runworks.Customer, service *runworks.Service, rule *runworks.Rule, ask *Ask) (*runworks.Request, error) {
+func newRequest(now *config.InForce, customer *runworks.Customer, service *runworks.Service, rule *runworks.Rule, ask *Request) (*runworks.Request, error) {
 	tier, err := chooseTier(now, rule, ask.Tier)
 	if err != nil {
 		return nil, err
--- a/services/admission/limits_test.go
+++ b/services/admission/limits_test.go
@@ -38,7 +38,7 @@
 			}
 			for _, name := range live {
 				if entries[name] == nil {
-					entries[name] = &Shares{Name: name, Settle: settle}
+					entries[name] = &Shares{Name: name, MaxLag: settle}
 				}
 			}
 			sum := 0
@@ -55,7 +55,7 @@
 			}
 			largest = max(largest, sum)
 			for name, s := range entries {
-				if !slices.Contains(live, name) && !s.Settled(at) {
+				if !slices.Contains(live, name) && !s.Ready(at) {
 					delete(entries, name) // it has read that it is leaving
 				}
 			}
--- a/services/admission/shares.go
+++ b/services/admission/shares.go
@@ -13,9 +13,9 @@
 type Shares struct {
 	// Name is this entry's name in the host list.
 	Name string
-	// Settle bounds how late an entry learns of a change of the list; 0 trusts
+	// MaxLag bounds how late an entry learns of a change of the list; 0 trusts
 	// the list at once, as one entry alone may.
-	Settle time.Duration
+	MaxLag time.Duration
 
 	mu   sync.Mutex
 	seen []seenEntries
@@ -56,13 +56,13 @@
 
 // forgetLocked drops the lists that were replaced longer than Settle ago.
 func (s *Shares) forgetLocked(now time.Time) {
-	for len(s.seen) > 1 && now.Sub(s.seen[1].from) >= s.Settle {
+	for len(s.seen) > 1 && now.Sub(s.seen[1].from) >= s.MaxLag {
 		s.seen = s.seen[1:]
 	}
 }
 
-// Settled says whether this entry may use a part of the limits.
-func (s *Shares) Settled(now time.Time) bool { return !s.at(now).none }
+// Ready says whether this entry may use a part of the limits.
+func (s *Shares) Ready(now time.Time) bool { return !s.at(now).none }
 
 // at gives the part as of now: by the longest list of the last while, and none
 // until every entry must have read that this one is there.
@@ -70,7 +70,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgetLocked(now)
-	if s.since.IsZero() || now.Sub(s.since) < s.Settle {
+	if s.since.IsZero() || now.Sub(s.since) < s.MaxLag {
 		return share{n: 1, none: true}
 	}
 	out := share{n: 1}
--- a/services/dispatch/rest_press_test.go
+++ b/services/dispatch/backoff_press_test.go
@@ -74,8 +74,8 @@
 	}
 	p.mu.Unlock()
 	time.Sleep(pressWay)
-	lease.Hear(&runworks.ServerReport{Backoff: lasts}, now)
-	lease.Release(TurnedAway)
+	lease.ApplyReport(&runworks.ServerReport{Backoff: lasts}, now)
+	lease.Release(Rejected)
 	if p.shares && lasts > 0 {
 		p.shareRest(e, server, lasts)
 	}
@@ -147,4 +147,4 @@
 
 // TestServerRests presses on servers that ask for rest in virtual time, through entries that
 // start, stand still and are cut off.
-func TestServerRests(t *testing.T) { playPress(t, "testdata/rests") }
+func TestServerRests(t *testing.T) { playPress(t, "testdata/backoff") }
--- a/services/dispatch/rest_test.go
+++ b/services/dispatch/backoff_test.go
@@ -33,11 +33,11 @@
 		rests(d, "s0", time.Second) // an answer that was overtaken
 		is.Equal(asked, []time.Duration{2 * time.Second})
 		is.Equal(time.Until(d.servers["s0"].rest.until), 2*time.Second)
-		is.Equal(placed.Withdrawn(), placed.Instance.ID == "s0")
+		is.Equal(placed.Unavailable(), placed.Instance.ID == "s0")
 		placed.Release(Abandoned)
 		is.Equal(served(t, d), map[string]int{"s1": 4})
-		is.Equal(len(d.Own().Ejected), 0)
-		is.Equal(d.Lend("s0", 1), 0)
+		is.Equal(len(d.LocalLoad().Ejected), 0)
+		is.Equal(d.TransferPermits("s0", 1), 0)
 
 		time.Sleep(time.Until(d.servers["s0"].rest.until))
 		got := 0
@@ -68,7 +68,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		is.Equal(told, []time.Duration{2 * time.Second})
-		is.Equal(d.RestsFor("llm"), 1990*time.Millisecond) // the last word holds
+		is.Equal(d.BackoffRemaining("llm"), 1990*time.Millisecond) // the last word holds
 		rests(d, "s0", 3*time.Second)
 		is.Equal(told[1:], []time.Duration{3 * time.Second})
 	})
@@ -80,15 +80,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a"}
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		rests(d, "s0/100", 3*time.Second)
-		is.True(d.RestsFor("llm") >= 3*time.Second)
-		d.Replace(nil)
+		is.True(d.BackoffRemaining("llm") >= 3*time.Second)
+		d.SetServers(nil)
 		time.Sleep(time.Second)
-		d.Replace([]runworks.Instance{bornAt(100)})
-		is.True(d.RestsFor("llm") >= 2*time.Second)
-		d.Replace([]runworks.Instance{bornAt(200)})
-		is.Equal(d.RestsFor("llm"), time.Duration(0))
+		d.SetServers([]runworks.Instance{bornAt(100)})
+		is.True(d.BackoffRemaining("llm") >= 2*time.Second)
+		d.SetServers([]runworks.Instance{bornAt(200)})
+		is.Equal(d.BackoffRemaining("llm"), time.Duration(0))
 		is.Equal(taken(t, d, "next life").Instance.Generation, int64(200))
 	})
 }
@@ -100,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1, 1)
-		d.RequestPermits = func(*Loan) { t.Error("a loan is no use") }
+		d.RequestPermits = func(*PermitTransfer) { t.Error("a loan is no use") }
 		go d.Run(t.Context())
 		asks := func(id string, target, patience time.Duration) *Request {
 			a := ask(id, 0)
@@ -156,17 +156,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a", Self: "me"}
-		d.RequestPermits = func(*Loan) { t.Error("a loan is no use") }
-		d.Replace(instances(8, 8))
+		d.RequestPermits = func(*PermitTransfer) { t.Error("a loan is no use") }
+		d.SetServers(instances(8, 8))
 		var running []*Lease
 		for i := range 16 {
 			running = append(running, taken(t, d, fmt.Sprint("busy", i)))
 		}
-		d.Report("other", runworks.EntryLoad{})
+		d.SetPeerLoad("other", runworks.EntryLoad{})
 		limitOf(d, "s0", 4)
 		time.Sleep(time.Second)
 		rests(d, "s0", 2*time.Second)
-		is.True(d.Lend("s0", 1) == 1)
+		is.True(d.TransferPermits("s0", 1) == 1)
 		for _, lease := range running {
 			if lease.Instance.ID == "s0" {
 				lease.Release(Served)
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -81,7 +81,7 @@
 	SendServerNotice func(notice runworks.ServerNotice)
 	// RequestPermits is told what another entry is to be asked for, whose answer goes to Borrowed; nil
 	// asks nobody. It must not wait.
-	RequestPermits func(loan *Loan)
+	RequestPermits func(loan *PermitTransfer)
 
 	mu sync.Mutex
 	// servers holds the servers by their lives, and newest by their ids.
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -17,7 +17,7 @@
 // newDispatcher builds one with servers of so many slots each, named s0, s1 and on.
 func newDispatcher(slots ...int) *Dispatcher {
 	d := &Dispatcher{Hall: "a"}
-	d.Replace(instances(slots...))
+	d.SetServers(instances(slots...))
 	return d
 }
 
@@ -171,22 +171,22 @@
 		d := newDispatcher(4, 4)
 		list := instances(4, 4)
 		list[0].Draining = true
-		left := d.Replace(list).Left
+		left := d.SetServers(list).Withdrawn
 		is.Equal(len(left), 1)
 		for i := range 4 {
 			is.Equal((<-acquired(d, ask(fmt.Sprint(i), 0))).Instance.ID, "s1")
 		}
-		d.Replace(list)
+		d.SetServers(list)
 		away := ask("away", 0)
 		away.Service = "app"
 		list = append(list, runworks.Instance{ID: "p0", Service: "app", Slots: 9, Draining: true}, runworks.Instance{ID: "p1", Service: "app", Slots: 9})
-		d.Replace(list)
+		d.SetServers(list)
 		for range 3 { // also when the only other one can't be reached
 			lease := <-acquired(d, away)
 			is.Equal(lease.Instance.ID, "p1")
 			lease.Release(Unreachable)
 		}
-		left = d.Replace(list[:1]).Left
+		left = d.SetServers(list[:1]).Withdrawn
 		ids := []string{left[0].ID, left[1].ID}
 		slices.Sort(ids)
 		is.Equal(ids, []string{"p1", "s1"})
@@ -202,10 +202,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(2)
-		d.Report("other", runs(runworks.RunningCalls{"s0": 2}))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0": 2}))
 		waiting := acquired(d, ask("waits", 0))
 		is.Equal(len(waiting), 0)
-		d.Forget("other")
+		d.RemovePeer("other")
 		(<-waiting).Release(Served)
 	})
 }
@@ -219,8 +219,8 @@
 		first, err := d.Acquire(context.Background(), ask("first", 1))
 		is.NoErr(err)
 		waits := acquired(d, ask("waits", 1))
-		d.Report("other", runs(runworks.RunningCalls{"s1": 2}))
-		d.Replace(instances(1, 2))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 2}))
+		d.SetServers(instances(1, 2))
 		synctest.Wait()
 		is.Equal(len(waits), 0)
 		first.Release(Served)
@@ -240,7 +240,7 @@
 		_, err := d.Acquire(context.Background(), a)
 		is.True(errors.Is(err, runworks.ErrTimeLimit))
 		is.Equal(time.Since(began), 3*time.Second-startMargin)
-		is.Equal(d.Waiting()["llm"], 0)
+		is.Equal(d.WaitingCalls()["llm"], 0)
 	})
 }
 
@@ -256,7 +256,7 @@
 		lease = <-acquired(d, ask("runs again", 0))
 		late := []<-chan *Lease{acquired(d, ask("late0", 0)), acquired(d, ask("late1", 0)), acquired(d, ask("late2", 0))}
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(d.Waiting()["llm"], 3)
+		is.Equal(d.WaitingCalls()["llm"], 3)
 		for i := range 30 { // what is in time gets all the starts
 			urgent := acquired(d, ask(fmt.Sprint("urgent", i), 0))
 			time.Sleep(200 * time.Millisecond)
@@ -264,7 +264,7 @@
 			lease = <-urgent
 		}
 		d.pumpAll()
-		is.Equal(d.Waiting()["llm"], 1) // the first is let wait: nothing tells that it has no chance
+		is.Equal(d.WaitingCalls()["llm"], 1) // the first is let wait: nothing tells that it has no chance
 		synctest.Wait()
 		for _, one := range late[1:] {
 			_, ok := <-one
@@ -293,7 +293,7 @@
 		_, err := d.Acquire(context.Background(), hopeless)
 		is.True(errors.Is(err, runworks.ErrShortage))
 		is.Equal(time.Since(began), time.Duration(0))
-		is.Equal(d.Waiting()["llm"], 2)
+		is.Equal(d.WaitingCalls()["llm"], 2)
 		<-waits // given up at its deadline
 		<-late
 	})
@@ -310,13 +310,13 @@
 			if lease.Instance.ID == "s0" {
 				broken++
 				defer lease.Release(Served)
-				lease.Release(Broken)
+				lease.Release(Interrupted)
 				continue
 			}
 			lease.Release(Served)
-			d.Report("other", runs(runworks.RunningCalls{"s1": 8}))
+			d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 8}))
 		}
-		d.Report("other", runs(runworks.RunningCalls{"s1": 5}))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 5}))
 		for i := range 3 {
 			is.Equal((<-acquired(d, ask(fmt.Sprint(i), 0))).Instance.ID, "s1")
 		}
@@ -349,14 +349,14 @@
 			lease.RecordLength(300, 100)
 			lease.Release(Served)
 		}
-		d.Report("other", runs(runworks.RunningCalls{"s0": 2}))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0": 2}))
 		long := ask("long", 0)
 		long.ExpectedTokens = 900 // 300 events: 4.5 s or 13.5 s
 		waiting := acquired(d, long)
 		short := <-acquired(d, ask("short", 0))
 		is.Equal(short.Instance.ID, "s1")
 		is.Equal(len(waiting), 0)
-		d.Report("other", runs(runworks.RunningCalls{}))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{}))
 		is.Equal((<-waiting).Instance.ID, "s0")
 	})
 }
@@ -372,13 +372,13 @@
 			time.Sleep(25 * time.Millisecond)
 			lease.Release(Served)
 		}
-		d.Report("other", runs(runworks.RunningCalls{"s0": 6}))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0": 6}))
 		for i := range 12 { // 6 slots, free twice in freeSoon
 			taken(t, d, fmt.Sprint(i))
 		}
 		waiting := acquired(d, ask("one too many", 0))
 		is.Equal(len(waiting), 0)
-		d.Report("other", runs(nil))
+		d.SetPeerLoad("other", runs(nil))
 		(<-waiting).Release(Served)
 	})
 }
--- a/services/dispatch/lapse.go
+++ b/services/dispatch/expiry.go
@@ -25,9 +25,9 @@
 	goneKept = time.Minute
 )
 
-// Lapses tells records that the store lost from servers that left, and those that an older
+// ExpiryFilter tells records that the store lost from servers that left, and those that an older
 // copy brought back from servers that came. The zero value is ready; it takes no lock.
-type Lapses struct {
+type ExpiryFilter struct {
 	known map[string]runworks.Instance
 	// since is when the record of a server that is kept went.
 	since map[string]time.Time
@@ -37,13 +37,13 @@
 	returned time.Time
 }
 
-// Returned notes that the store came back from an older copy, of which the next list is.
-func (l *Lapses) Returned(now time.Time) { l.returned = now }
+// StoreRestored notes that the store came back from an older copy, of which the next list is.
+func (l *ExpiryFilter) StoreRestored(now time.Time) { l.returned = now }
 
 // Merge takes the list as the store has it, and gives it with the servers that are
 // kept for a while and without those that went before the store came back, and after
 // what time it is to be merged again; 0 is never.
-func (l *Lapses) Merge(now time.Time, list []runworks.Instance) (merged []runworks.Instance, again time.Duration) {
+func (l *ExpiryFilter) Merge(now time.Time, list []runworks.Instance) (merged []runworks.Instance, again time.Duration) {
 	list, again = l.withoutGone(now, list)
 	listed := make(map[string]runworks.Instance, len(list))
 	for _, one := range list {
@@ -75,7 +75,7 @@
 
 // lapsed says whether the servers that are on the list no more are rather records that the
 // store lost.
-func (l *Lapses) lapsed(now time.Time, listed map[string]runworks.Instance) bool {
+func (l *ExpiryFilter) lapsed(now time.Time, listed map[string]runworks.Instance) bool {
 	if l.returned.Equal(now) {
 		return true // the copy is older than the records of those that came last
 	}
@@ -90,7 +90,7 @@
 
 // withoutGone gives the list without the servers that went before the store came back from a
 // copy, as long as the copy may still hold their records.
-func (l *Lapses) withoutGone(now time.Time, list []runworks.Instance) (out []runworks.Instance, again time.Duration) {
+func (l *ExpiryFilter) withoutGone(now time.Time, list []runworks.Instance) (out []runworks.Instance, again time.Duration) {
 	maps.DeleteFunc(l.gone, func(_ string, at time.Time) bool { return now.Sub(at) > goneKept })
 	left := l.returned.Add(returnGrace).Sub(now)
 	out = list[:0]
@@ -106,7 +106,7 @@
 	return out, again
 }
 
-func (l *Lapses) noteGone(now time.Time, one *runworks.Instance) {
+func (l *ExpiryFilter) noteGone(now time.Time, one *runworks.Instance) {
 	if l.gone == nil {
 		l.gone = make(map[string]time.Time)
 	}
--- a/services/dispatch/lapse_test.go
+++ b/services/dispatch/expiry_test.go
@@ -27,7 +27,7 @@
 func TestLapsedRecords(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	var l Lapses
+	var l ExpiryFilter
 	all := instances(1, 1, 1, 1, 1, 1)
 	list, next := l.Merge(now, all)
 	is.Equal(ids(list), "s0 s1 s2 s3 s4 s5")
@@ -58,14 +58,14 @@
 func TestRecordsOfAnOlderCopy(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	var l Lapses
+	var l ExpiryFilter
 	all := instances(1, 1, 1, 1, 1, 1)
 	_, _ = l.Merge(now, all[:5]) // the copy is made
 	now = now.Add(time.Second)
 	list, _ := l.Merge(now, slices.Clone(all[1:])) // s0 went, and s5 came
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	now = now.Add(time.Second)
-	l.Returned(now)
+	l.StoreRestored(now)
 	list, next := l.Merge(now, slices.Clone(all[:5]))
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	is.Equal(next, lapseGrace)
--- a/services/dispatch/health.go
+++ b/services/dispatch/health.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Responded records that the head of the call's answer came.
-func (l *Lease) Responded() {
+// RecordHeaders records that the head of the call's answer came.
+func (l *Lease) RecordHeaders() {
 	d := l.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/dispatch/health_test.go
+++ b/services/dispatch/health_test.go
@@ -29,13 +29,13 @@
 		d := newDispatcher(9, 9)
 		var told []string
 		d.OnUnresponsive = func(s runworks.Instance, silent bool) { told = append(told, fmt.Sprint(s.ID, " ", silent)) }
-		d.Report("other", runs(runworks.RunningCalls{"s1": 5}))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 5}))
 		silent := taken(t, d, "silent")
 		is.Equal(silent.Instance.ID, "s0")
-		silent.Responded()
-		is.Equal(len(d.Own().Ejected), 0)
+		silent.RecordHeaders()
+		is.Equal(len(d.LocalLoad().Ejected), 0)
 		time.Sleep(silence + time.Millisecond)
-		is.Equal(d.Own().Ejected, []string{"s0"})
+		is.Equal(d.LocalLoad().Ejected, []string{"s0"})
 		d.pumpAll()
 		for i := range 3 {
 			is.Equal(taken(t, d, fmt.Sprint(i)).Instance.ID, "s1")
@@ -54,11 +54,11 @@
 		d := newDispatcher(9, 9)
 		first := taken(t, d, "first")
 		time.Sleep(5 * time.Second)
-		first.Responded()
+		first.RecordHeaders()
 		first.Release(Served)
 		taken(t, d, "second")
 		time.Sleep(10 * time.Second)
-		is.Equal(len(d.Own().Ejected), 0)
+		is.Equal(len(d.LocalLoad().Ejected), 0)
 	})
 }
 
@@ -72,20 +72,20 @@
 		d.OnPeerEject = func(_ runworks.Instance, entries int) { told = append(told, entries) }
 		before := taken(t, d, "before")
 		other := map[string]string{"s0": "s1", "s1": "s0"}[before.Instance.ID]
-		d.Report("busy", runs(runworks.RunningCalls{other: 5})) // so that it is the worse
+		d.SetPeerLoad("busy", runs(runworks.RunningCalls{other: 5})) // so that it is the worse
 		time.Sleep(time.Millisecond)
-		d.Report("other", runworks.EntryLoad{Ejected: []string{before.Instance.ID}})
+		d.SetPeerLoad("other", runworks.EntryLoad{Ejected: []string{before.Instance.ID}})
 		for i := range 3 {
 			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != before.Instance.ID)
 		}
-		is.Equal(len(d.Own().Ejected), 0) // hearsay is not passed on
+		is.Equal(len(d.LocalLoad().Ejected), 0) // hearsay is not passed on
 		time.Sleep(time.Millisecond)
 		before.RecordFirstEvent(0)
 		is.Equal(taken(t, d, "after").Instance.ID, before.Instance.ID)
-		d.Report("other", runworks.EntryLoad{})
+		d.SetPeerLoad("other", runworks.EntryLoad{})
 		is.Equal(told, []int{1, 0})
-		before.Release(Broken)
-		is.Equal(d.Own().Ejected, []string{before.Instance.ID})
+		before.Release(Interrupted)
+		is.Equal(d.LocalLoad().Ejected, []string{before.Instance.ID})
 	})
 }
 
@@ -96,15 +96,15 @@
 		is := is.New(t)
 		d := newDispatcher(9, 9)
 		moved := taken(t, d, "moved")
-		moved.Release(Moved)
-		d.Replace(instances(9, 9))
+		moved.Release(AddressReused)
+		d.SetServers(instances(9, 9))
 		for i := range 5 {
 			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != moved.Instance.ID)
 		}
-		is.Equal(d.Own().Ejected, []string{moved.Instance.ID})
+		is.Equal(d.LocalLoad().Ejected, []string{moved.Instance.ID})
 		// Nor when no other is healthy.
 		time.Sleep(time.Millisecond)
-		d.Report("other", runworks.EntryLoad{Ejected: []string{"s0", "s1"}})
+		d.SetPeerLoad("other", runworks.EntryLoad{Ejected: []string{"s0", "s1"}})
 		is.True(taken(t, d, "last").Instance.ID != moved.Instance.ID)
 	})
 }
@@ -117,15 +117,15 @@
 		d := newDispatcher(9, 9, 9)
 		bad := taken(t, d, "bad")
 		id := bad.Instance.ID
-		d.Report("other", runworks.EntryLoad{ConsecutiveFailures: map[string]int{id: minFailed - 1}})
+		d.SetPeerLoad("other", runworks.EntryLoad{ConsecutiveFailures: map[string]int{id: minFailed - 1}})
 		bad.Release(Failed)
-		is.Equal(d.Own().Ejected, []string{id})
-		is.Equal(len(d.Own().ConsecutiveFailures), 0) // the count starts anew
+		is.Equal(d.LocalLoad().Ejected, []string{id})
+		is.Equal(len(d.LocalLoad().ConsecutiveFailures), 0) // the count starts anew
 		for i := range 6 {
 			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != id)
 		}
 		time.Sleep(failedSuspension)
-		is.Equal(len(d.Own().Ejected), 0)
+		is.Equal(len(d.LocalLoad().Ejected), 0)
 	})
 }
 
@@ -143,7 +143,7 @@
 				one.Release(Failed)
 			}
 		}
-		is.Equal(len(d.Own().Ejected), 0)
-		is.Equal(len(d.Own().ConsecutiveFailures), 3)
+		is.Equal(len(d.LocalLoad().Ejected), 0)
+		is.Equal(len(d.LocalLoad().ConsecutiveFailures), 3)
 	})
 }
--- a/services/dispatch/life_test.go
+++ b/services/dispatch/incarnation_test.go
@@ -24,46 +24,46 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a"}
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		lease := taken(t, d, "call")
-		lease.Responded()
+		lease.RecordHeaders()
 		lease.RecordEventGap(time.Second)
 		lost := taken(t, d, "lost")
 		lost.Release(Unreachable)
-		d.Report("other", runworks.EntryLoad{
+		d.SetPeerLoad("other", runworks.EntryLoad{
 			Running: runworks.RunningCalls{"s0/100": 3}, UnreadPromptTokens: map[string]int{"s0/100": 9000}, ConsecutiveFailures: map[string]int{"s0/100": 9}, Ejected: []string{"s0/100"},
 		})
 		old := d.servers["s0/100"]
 		is.True(!d.services["llm"].healthy(time.Now(), old))
-		is.Equal(d.Own().Running, runworks.RunningCalls{"s0/100": 1})
+		is.Equal(d.LocalLoad().Running, runworks.RunningCalls{"s0/100": 1})
 		is.Equal(old.load(), 4)
 
-		change := d.Replace([]runworks.Instance{bornAt(200)})
-		is.Equal(len(change.Ended), 1)
-		is.Equal(change.Ended[0].Generation, int64(100))
+		change := d.SetServers([]runworks.Instance{bornAt(200)})
+		is.Equal(len(change.Restarted), 1)
+		is.Equal(change.Restarted[0].Generation, int64(100))
 		is.Equal(len(change.Added), 1)
-		is.Equal(len(change.Left), 0)
+		is.Equal(len(change.Withdrawn), 0)
 		now := d.servers["s0/200"]
 		is.True(d.services["llm"].healthy(time.Now(), now))
 		is.Equal(now.load(), 0)
 		is.Equal(now.othersReading+now.othersFailed+now.doubts, 0)
 		is.Equal(float64(now.pace), 0.0)
-		is.Equal(len(d.Own().Running), 0) // the call of the last life is not told
+		is.Equal(len(d.LocalLoad().Running), 0) // the call of the last life is not told
 
-		d.Report("behind", runs(runworks.RunningCalls{"s0/100": 4}))
+		d.SetPeerLoad("behind", runs(runworks.RunningCalls{"s0/100": 4}))
 		is.Equal(now.load(), 0)
-		d.Report("other", runs(runworks.RunningCalls{"s0/200": 2}))
+		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0/200": 2}))
 		is.Equal(now.load(), 2)
-		d.Report("older version", runs(runworks.RunningCalls{"s0": 1}))
+		d.SetPeerLoad("older version", runs(runworks.RunningCalls{"s0": 1}))
 		is.Equal(now.load(), 3)
-		d.Forget("older version")
+		d.RemovePeer("older version")
 		is.Equal(now.load(), 2)
 
 		again := ask("again", 0)
 		again.Exclude = []string{"s0/100"} // it had the call before it started again
 		second := <-acquired(d, again)
 		is.Equal(second.Instance.Generation, int64(200))
-		lease.Release(Broken) // tells nothing of the new life
+		lease.Release(Interrupted) // tells nothing of the new life
 		is.Equal(now.failures, 0)
 		is.Equal(now.own, 1)
 		second.Release(Served)
@@ -76,7 +76,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a"}
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		before, after, over := taken(t, d, "before"), taken(t, d, "after"), taken(t, d, "over")
 		var mu sync.Mutex
 		told := map[string]time.Duration{}
@@ -96,18 +96,18 @@
 		before.OnServerExit(note("before"))
 		over.OnServerExit(note("over"))
 		over.Release(Served)
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		time.Sleep(time.Second)
 		is.Equal(len(all()), 0)
 		began = time.Now()
-		d.Replace([]runworks.Instance{bornAt(200)})
+		d.SetServers([]runworks.Instance{bornAt(200)})
 		after.OnServerExit(note("after")) // it had not begun to listen
 		time.Sleep(time.Second)
 		is.Equal(all(), map[string]time.Duration{"before": lateAnswerGrace, "after": lateAnswerGrace})
 		// One that only leaves the list goes on with what it has.
 		lease := taken(t, d, "goes on")
 		lease.OnServerExit(note("goes on"))
-		d.Replace(nil)
+		d.SetServers(nil)
 		time.Sleep(time.Second)
 		is.Equal(len(all()), 2)
 	})
@@ -118,10 +118,10 @@
 func TestGone(t *testing.T) {
 	is := is.New(t)
 	d := &Dispatcher{}
-	d.Replace([]runworks.Instance{{ID: "a", Generation: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}, {ID: "d", Service: "s"}})
-	is.Equal(len(d.Replace([]runworks.Instance{{ID: "a", Generation: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s", Draining: true}, {ID: "d", Service: "s"}}).Gone), 0)
+	d.SetServers([]runworks.Instance{{ID: "a", Generation: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}, {ID: "d", Service: "s"}})
+	is.Equal(len(d.SetServers([]runworks.Instance{{ID: "a", Generation: 1, Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s", Draining: true}, {ID: "d", Service: "s"}}).Exited), 0)
 	var gone []string
-	for _, one := range d.Replace([]runworks.Instance{{ID: "a", Generation: 2, Service: "s"}, {ID: "d", Service: "s"}}).Gone {
+	for _, one := range d.SetServers([]runworks.Instance{{ID: "a", Generation: 2, Service: "s"}, {ID: "d", Service: "s"}}).Exited {
 		gone = append(gone, one.IncarnationID())
 	}
 	slices.Sort(gone)
--- a/services/dispatch/limit.go
+++ b/services/dispatch/limit.go
@@ -14,9 +14,9 @@
 func (d *Dispatcher) hearLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, sent time.Time) {
 	var news bool
 	if limit.Named {
-		news = s.limit.Name(now, now, limit.PerSecond)
+		news = s.limit.Set(now, now, limit.PerSecond)
 	} else {
-		news = s.limit.End(now, now, sent)
+		news = s.limit.Clear(now, now, sent)
 	}
 	if news {
 		d.limitChangedLocked(now, s, "")
@@ -29,10 +29,10 @@
 func (d *Dispatcher) takeLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, at time.Time, from string) {
 	var news bool
 	if limit.Named {
-		news = s.limit.Name(now, at, limit.PerSecond)
+		news = s.limit.Set(now, at, limit.PerSecond)
 	} else {
-		news = s.limit.End(now, at, at)
-		if word, _ := s.limit.Word(); word.Named {
+		news = s.limit.Clear(now, at, at)
+		if word, _ := s.limit.Reported(); word.Named {
 			d.tellLimitLocked(now, s) // the server named it again since
 		}
 	}
@@ -48,7 +48,7 @@
 
 // limitNotice gives the server's newest word of the requests that it takes, for the others.
 func (s *server) limitNotice(now time.Time) runworks.ServerNotice {
-	word, at := s.limit.Word()
+	word, at := s.limit.Reported()
 	return runworks.ServerNotice{Server: s.life, Limit: &word, LimitAgeMs: now.Sub(at).Milliseconds()}
 }
 
@@ -57,19 +57,19 @@
 func (d *Dispatcher) limitChangedLocked(now time.Time, s *server, from string) {
 	d.partLimitLocked(now, s)
 	// One that ends holds for a moment longer: its end is told then.
-	if word, _ := s.limit.Word(); word.Named && d.OnRateLimit != nil {
-		d.OnRateLimit(s.Instance, LimitChange{Word: word, From: from, Part: s.limit.Part(), Entries: len(d.others()) + 1})
+	if word, _ := s.limit.Reported(); word.Named && d.OnRateLimit != nil {
+		d.OnRateLimit(s.Instance, LimitChange{Limit: word, From: from, Share: s.limit.Share(), Entries: len(d.others()) + 1})
 	}
 }
 
 // LimitChange tells what changed of a server's limit.
 type LimitChange struct {
-	// Word is the server's newest word.
-	Word runworks.RateLimit
+	// Limit is the server's newest word.
+	Limit runworks.RateLimit
 	// From names the entry that told it; empty if the server did.
 	From string
-	// Part is this entry's part of the limit, and Entries among how many it is shared.
-	Part    serverlimit.Part
+	// Share is this entry's part of the limit, and Entries among how many it is shared.
+	Share   serverlimit.Share
 	Entries int
 }
 
@@ -89,13 +89,13 @@
 			ahead++
 		}
 	}
-	s.limit.Share(now, serverlimit.PartOf(s.limit.PerSecond(), ahead, len(others)+1))
+	s.limit.SetShare(now, serverlimit.ShareOf(s.limit.PerSecond(), ahead, len(others)+1))
 }
 
 // partLimitsLocked gives this entry its parts anew, as the entries changed.
 func (d *Dispatcher) partLimitsLocked(now time.Time) {
 	for _, s := range d.servers {
-		if s.limit.InForce(now) {
+		if s.limit.Active(now) {
 			d.partLimitLocked(now, s)
 		}
 	}
@@ -105,7 +105,7 @@
 // gone.
 func (d *Dispatcher) tendLimitsLocked(now time.Time) {
 	for _, s := range d.servers {
-		if s.limit.Over(now) {
+		if s.limit.Expired(now) {
 			s.limit = serverlimit.Limit{}
 			if d.OnRateLimit != nil {
 				d.OnRateLimit(s.Instance, LimitChange{})
--- a/services/dispatch/limit_test.go
+++ b/services/dispatch/limit_test.go
@@ -18,7 +18,7 @@
 // limitOf has a server name a limit to a dispatcher, in the answer to a call.
 func limitOf(d *Dispatcher, id string, perSecond float64) {
 	lease := &Lease{dispatcher: d, server: d.servers[id], Instance: d.servers[id].Instance}
-	lease.Hear(&runworks.ServerReport{Limit: &runworks.RateLimit{Named: true, PerSecond: perSecond}}, time.Now())
+	lease.ApplyReport(&runworks.ServerReport{Limit: &runworks.RateLimit{Named: true, PerSecond: perSecond}}, time.Now())
 }
 
 // served takes slots one after the other, as long as there are any at once, and counts
@@ -47,7 +47,7 @@
 		d.OnEject = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
 		limitOf(d, "s0", 2)
 		is.Equal(served(t, d), map[string]int{"s1": 4})
-		is.Equal(len(d.Own().Ejected), 0)
+		is.Equal(len(d.LocalLoad().Ejected), 0)
 		time.Sleep(time.Second)
 		is.Equal(served(t, d), map[string]int{"s0": 2})
 	})
@@ -123,7 +123,7 @@
 		d.Self = "me"
 		limitOf(d, "s0", 0)
 		for i := range 100 {
-			d.Report(runworks.Incarnation(strings.Repeat("x", i+1)), runworks.EntryLoad{})
+			d.SetPeerLoad(runworks.Incarnation(strings.Repeat("x", i+1)), runworks.EntryLoad{})
 		}
 		_, err := d.Acquire(context.Background(), ask("c", 0))
 		is.True(errors.Is(err, runworks.ErrShortage))
@@ -138,19 +138,19 @@
 		is := is.New(t)
 		d := newDispatcher(8)
 		go d.Run(t.Context())
-		d.Report("other", runworks.EntryLoad{})
+		d.SetPeerLoad("other", runworks.EntryLoad{})
 		limitOf(d, "s0", 4)
-		part := func() float64 { return d.Loads()[0].LimitPart }
+		part := func() float64 { return d.ServerStatuses()[0].LimitShare }
 		is.Equal(part(), 2.0)
-		d.Lose("other")
+		d.MarkPeerUnreachable("other")
 		is.Equal(part(), 2.0)
 		time.Sleep(runworks.EntryTimeout - time.Second)
 		is.Equal(part(), 2.0)
 		time.Sleep(2 * time.Second)
 		is.Equal(part(), 4.0)
-		d.Report("other", runworks.EntryLoad{})
+		d.SetPeerLoad("other", runworks.EntryLoad{})
 		is.Equal(part(), 2.0)
-		d.Forget("other") // its next life was heard
+		d.RemovePeer("other") // its next life was heard
 		is.Equal(part(), 4.0)
 	})
 }
@@ -167,9 +167,9 @@
 		word := func(server string, perSecond float64, age time.Duration) runworks.ServerNotice {
 			return runworks.ServerNotice{Server: server, Limit: &runworks.RateLimit{Named: perSecond > 0, PerSecond: perSecond}, LimitAgeMs: age.Milliseconds()}
 		}
-		d.TakeWords("other", []runworks.ServerNotice{word("s0", 3, time.Minute)})
-		d.Replace(instances(4))
-		limits := d.Words()
+		d.ApplyNotices("other", []runworks.ServerNotice{word("s0", 3, time.Minute)})
+		d.SetServers(instances(4))
+		limits := d.ServerNotices()
 		is.Equal(len(limits), 1)
 		is.Equal(limits[0].Limit.PerSecond, 3.0)
 		is.Equal(limits[0].LimitAgeMs, time.Minute.Milliseconds())
@@ -178,12 +178,12 @@
 		limitOf(d, "s0", 5)
 		is.Equal(told, []runworks.ServerNotice{word("s0", 5, 0)})
 		time.Sleep(100 * time.Millisecond)
-		d.TakeWords("other", []runworks.ServerNotice{word("s0", 0, time.Second)}) // it ended a second ago
+		d.ApplyNotices("other", []runworks.ServerNotice{word("s0", 0, time.Second)}) // it ended a second ago
 		is.Equal(told[1:], []runworks.ServerNotice{word("s0", 5, 100*time.Millisecond)})
-		is.Equal(d.Loads()[0].Limit.PerSecond, 5.0)
+		is.Equal(d.ServerStatuses()[0].Limit.PerSecond, 5.0)
 
-		d.TakeWords("other", []runworks.ServerNotice{word("s0", 0, 0)})
-		is.Equal(len(d.Words()), 0)
+		d.ApplyNotices("other", []runworks.ServerNotice{word("s0", 0, 0)})
+		is.Equal(len(d.ServerNotices()), 0)
 	})
 }
 
@@ -199,16 +199,16 @@
 		time.Sleep(2 * time.Second)
 		is.Equal(served(t, d), map[string]int{"s0": 4})
 		for range 3 {
-			d.Replace(nil)
+			d.SetServers(nil)
 			time.Sleep(100 * time.Millisecond)
-			d.Replace(instances(8))
+			d.SetServers(instances(8))
 		}
-		is.Equal(d.Loads()[0].Limit.PerSecond, 2.0)
+		is.Equal(d.ServerStatuses()[0].Limit.PerSecond, 2.0)
 		is.Equal(served(t, d), map[string]int{})
-		d.Replace(nil)
+		d.SetServers(nil)
 		time.Sleep(runworks.EntryTimeout + time.Second)
-		d.Replace(instances(8))
-		is.Equal(d.Loads()[0].Limit, runworks.RateLimit{})
+		d.SetServers(instances(8))
+		is.Equal(d.ServerStatuses()[0].Limit, runworks.RateLimit{})
 		is.Equal(len(d.expiredReports), 0)
 	})
 }
@@ -219,11 +219,11 @@
 		is := is.New(t)
 		d := &Dispatcher{}
 		for i := range 2 * maxEarly {
-			d.TakeWords("other", []runworks.ServerNotice{{Server: strings.Repeat("x", i%97) + time.Duration(i).String()}})
+			d.ApplyNotices("other", []runworks.ServerNotice{{Server: strings.Repeat("x", i%97) + time.Duration(i).String()}})
 		}
 		is.Equal(len(d.pendingNotices), maxEarly)
 		time.Sleep(runworks.EntryTimeout + time.Second)
-		d.Replace(nil)
+		d.SetServers(nil)
 		is.Equal(len(d.pendingNotices), 0)
 	})
 }
@@ -234,22 +234,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a", Self: "me"}
-		var loans []*Loan
-		d.RequestPermits = func(l *Loan) { loans = append(loans, l) }
-		d.Replace(instances(8))
-		d.Report("other", runworks.EntryLoad{})
+		var loans []*PermitTransfer
+		d.RequestPermits = func(l *PermitTransfer) { loans = append(loans, l) }
+		d.SetServers(instances(8))
+		d.SetPeerLoad("other", runworks.EntryLoad{})
 		limitOf(d, "s0", 1)
 		out := acquired(d, ask("c", 0))
 		is.Equal(len(out), 0)
 		is.Equal(len(loans), 1) // one question at a time
-		is.Equal(*loans[0], Loan{Server: "s0", Lender: "other", Requests: 1, service: "llm"})
-		d.Borrowed(loans[0], 3)
+		is.Equal(*loans[0], PermitTransfer{Server: "s0", Donor: "other", Permits: 1, service: "llm"})
+		d.FinishTransfer(loans[0], 3)
 		lease := <-out
 		is.Equal(lease.Instance.ID, "s0")
 		waits := acquired(d, ask("d", 0))
 		is.Equal(len(waits), 0) // two of the three are lost
 		is.Equal(len(loans), 2)
-		d.Borrowed(loans[1], 1)
+		d.FinishTransfer(loans[1], 1)
 		<-waits
 	})
 }
@@ -263,16 +263,16 @@
 		d := &Dispatcher{Hall: "a", Self: "me"}
 		var asked atomic.Int32
 		began := time.Now()
-		d.RequestPermits = func(l *Loan) {
+		d.RequestPermits = func(l *PermitTransfer) {
 			asked.Add(1)
-			time.AfterFunc(time.Millisecond, func() { d.Borrowed(l, 0) })
+			time.AfterFunc(time.Millisecond, func() { d.FinishTransfer(l, 0) })
 		}
-		d.Replace(instances(8))
+		d.SetServers(instances(8))
 		for i := range 50 {
-			d.Report(runworks.Incarnation(strings.Repeat("x", i+1)), runworks.EntryLoad{})
+			d.SetPeerLoad(runworks.Incarnation(strings.Repeat("x", i+1)), runworks.EntryLoad{})
 		}
 		limitOf(d, "s0", 1)
-		is.Equal(d.Loads()[0].LimitPart, 0.0) // as the hash says
+		is.Equal(d.ServerStatuses()[0].LimitShare, 0.0) // as the hash says
 		go d.Run(t.Context())
 		out := acquired(d, ask("c", 0))
 		time.Sleep(10 * time.Millisecond)
@@ -293,15 +293,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(8)
-		is.Equal(d.Lend("s0", 9), 0) // no limit: nothing to count
-		is.Equal(d.Lend("nobody", 9), 0)
+		is.Equal(d.TransferPermits("s0", 9), 0) // no limit: nothing to count
+		is.Equal(d.TransferPermits("nobody", 9), 0)
 		limitOf(d, "s0", 2)
 		time.Sleep(2 * time.Second)
-		is.Equal(d.Lend("s0", 3), 3)
-		is.Equal(d.Lend("s0", 3), 1)
+		is.Equal(d.TransferPermits("s0", 3), 3)
+		is.Equal(d.TransferPermits("s0", 3), 1)
 		out := acquired(d, ask("c", 0))
 		time.Sleep(600 * time.Millisecond) // something is at hand again, and the call not looked at yet
-		is.Equal(d.Lend("s0", 3), 0)
+		is.Equal(d.TransferPermits("s0", 3), 0)
 		go d.Run(t.Context())
 		<-out
 	})
--- a/services/dispatch/load_test.go
+++ b/services/dispatch/load_test.go
@@ -172,10 +172,10 @@
 	}
 	for i := 0; ctx.Err() == nil; i++ {
 		for j, from := range l.fronts {
-			load := from.Own()
+			load := from.LocalLoad()
 			for _, to := range l.fronts {
 				if to != from && (to.Hall == from.Hall || (i+j)%far == 0) {
-					to.Report(from.Self, load)
+					to.SetPeerLoad(from.Self, load)
 				}
 			}
 		}
@@ -298,7 +298,7 @@
 	}
 	for i := range fronts {
 		d := &Dispatcher{Hall: fmt.Sprint(i % halls), Self: runworks.Incarnation(fmt.Sprint("front-", i))}
-		d.Replace(list)
+		d.SetServers(list)
 		l.fronts = append(l.fronts, d)
 		running.Go(func() { d.Run(ctx) })
 	}
--- a/services/dispatch/model_test.go
+++ b/services/dispatch/model_test.go
@@ -90,9 +90,9 @@
 		first := <-acquired(d, prompted("first", 500))
 		first.Release(Served)
 		reads := runworks.EntryLoad{UnreadPromptTokens: map[string]int{first.Instance.ID: 60000}}
-		d.Report("other", reads)
+		d.SetPeerLoad("other", reads)
 		is.True((<-acquired(d, prompted("second", 500))).Instance.ID != first.Instance.ID)
-		d.Report("other", runworks.EntryLoad{})
+		d.SetPeerLoad("other", runworks.EntryLoad{})
 		is.Equal((<-acquired(d, prompted("third", 500))).Instance.ID, first.Instance.ID)
 	})
 }
@@ -103,13 +103,13 @@
 		is := is.New(t)
 		d := newDispatcher(9)
 		l := <-acquired(d, prompted("long", minUnreadReported))
-		is.Equal(d.Own().UnreadPromptTokens, map[string]int{"s0": minUnreadReported})
+		is.Equal(d.LocalLoad().UnreadPromptTokens, map[string]int{"s0": minUnreadReported})
 		l.RecordFirstEvent(minUnreadReported)
-		is.Equal(len(d.Own().UnreadPromptTokens), 0)
+		is.Equal(len(d.LocalLoad().UnreadPromptTokens), 0)
 		l.Release(Served)
 		left := <-acquired(d, prompted("left", minUnreadReported))
 		left.Release(Abandoned)
-		is.Equal(len(d.Own().UnreadPromptTokens), 0)
+		is.Equal(len(d.LocalLoad().UnreadPromptTokens), 0)
 	})
 }
 
--- a/services/dispatch/words_told.go
+++ b/services/dispatch/notices.go
@@ -6,8 +6,8 @@
 	"github.com/runworks/runworks"
 )
 
-// TakeWords takes what another entry tells of the servers.
-func (d *Dispatcher) TakeWords(from string, list []runworks.ServerNotice) {
+// ApplyNotices takes what another entry tells of the servers.
+func (d *Dispatcher) ApplyNotices(from string, list []runworks.ServerNotice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -76,15 +76,15 @@
 	}
 }
 
-// Words gives what servers say of themselves to all, for another entry, which may know nothing.
-func (d *Dispatcher) Words() []runworks.ServerNotice {
+// ServerNotices gives what servers say of themselves to all, for another entry, which may know nothing.
+func (d *Dispatcher) ServerNotices() []runworks.ServerNotice {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	var out []runworks.ServerNotice
 	for _, s := range d.servers {
 		one := runworks.ServerNotice{Server: s.life}
-		if word, _ := s.limit.Word(); word.Named {
+		if word, _ := s.limit.Reported(); word.Named {
 			one = s.limitNotice(now)
 		}
 		one.Draining = s.leaving
--- a/services/dispatch/borrow.go
+++ b/services/dispatch/permits.go
@@ -20,16 +20,16 @@
 	lastBorrowPause  = time.Second
 )
 
-// Loan is what an entry asks another for: requests to a server that the other has at hand of
+// PermitTransfer is what an entry asks another for: requests to a server that the other has at hand of
 // its part of the server's limit, and no use for now. Without it calls that come to an entry
 // with no part are refused while others have some.
-type Loan struct {
+type PermitTransfer struct {
 	// Server is Instance.Life.
 	Server string
-	// Lender is the entry that is asked.
-	Lender runworks.Incarnation
-	// Requests is how many are asked for.
-	Requests int
+	// Donor is the entry that is asked.
+	Donor runworks.Incarnation
+	// Permits is how many are asked for.
+	Permits int
 
 	service string
 }
@@ -70,9 +70,9 @@
 	b.again = now.Add(b.pause)
 }
 
-// Lend gives away what this entry has at hand of a server's limit, unless its own calls wait
+// TransferPermits gives away what this entry has at hand of a server's limit, unless its own calls wait
 // for it; it says how many requests.
-func (d *Dispatcher) Lend(server string, requests int) int {
+func (d *Dispatcher) TransferPermits(server string, requests int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.servers[server]
@@ -82,11 +82,11 @@
 	if of := d.services[s.Service]; of != nil && of.queue.Len() > 0 {
 		return 0
 	}
-	return s.limit.Lend(time.Now(), requests)
+	return s.limit.Donate(time.Now(), requests)
 }
 
-// Borrowed takes the answer to a question for a loan: so many requests may be sent now.
-func (d *Dispatcher) Borrowed(loan *Loan, requests int) {
+// FinishTransfer takes the answer to a question for a loan: so many requests may be sent now.
+func (d *Dispatcher) FinishTransfer(loan *PermitTransfer, requests int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	of := d.services[loan.service]
@@ -103,9 +103,9 @@
 		return
 	}
 	b.failed, b.pause = 0, 0
-	s.limit.Borrow(requests)
+	s.limit.AddTransferred(requests)
 	d.pumpLocked(of)
-	s.limit.Drop()
+	s.limit.DropTransferred()
 }
 
 // borrowLocked asks another entry for requests at hand, if calls of a service wait that a
@@ -117,7 +117,7 @@
 	}
 	var wanted []*server
 	for _, one := range of.servers {
-		if one.limit.InForce(now) && !one.limit.Admits(now) && of.healthy(now, one) && one.hasSlot(now, of) {
+		if one.limit.Active(now) && !one.limit.Admits(now) && of.healthy(now, one) && one.hasSlot(now, of) {
 			wanted = append(wanted, one)
 		}
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	b.asking = true
-	d.RequestPermits(&Loan{Server: s.life, Lender: lender, Requests: min(of.queue.Len(), s.Slots), service: of.name})
+	d.RequestPermits(&PermitTransfer{Server: s.life, Donor: lender, Permits: min(of.queue.Len(), s.Slots), service: of.name})
 }
 
 // lender gives another entry that has a part of a server's limit and was heard just now; none
@@ -141,7 +141,7 @@
 	slices.SortFunc(all, func(a, b runworks.Incarnation) int {
 		return cmp.Compare(rendezvousHash(s.life, b), rendezvousHash(s.life, a))
 	})
-	owners := all[:serverlimit.Owners(s.limit.PerSecond(), len(all))]
+	owners := all[:serverlimit.ShareCount(s.limit.PerSecond(), len(all))]
 	owners = slices.DeleteFunc(owners, func(id runworks.Incarnation) bool {
 		_, heard := d.peers[id]
 		return !heard
--- a/services/dispatch/press_test.go
+++ b/services/dispatch/press_test.go
@@ -82,13 +82,13 @@
 	e.Dispatcher = &Dispatcher{Hall: "a", Self: runworks.Incarnation(fmt.Sprint(name, "#", p.lives))}
 	e.SendServerNotice = func(notice runworks.ServerNotice) { p.work.Go(func() { p.tellWord(e, notice) }) }
 	if !p.alone {
-		e.RequestPermits = func(loan *Loan) { p.work.Go(func() { e.Borrowed(loan, p.lend(e, loan)) }) }
+		e.RequestPermits = func(loan *PermitTransfer) { p.work.Go(func() { e.FinishTransfer(loan, p.lend(e, loan)) }) }
 	}
 	var list []runworks.Instance
 	for _, id := range p.servers {
 		list = append(list, runworks.Instance{ID: id, Service: "llm", Hall: "a", Slots: pressSlots})
 	}
-	e.Replace(list)
+	e.SetServers(list)
 	p.work.Go(func() { e.Run(ctx) })
 	return e
 }
@@ -99,25 +99,25 @@
 	defer p.mu.Unlock()
 	for _, to := range p.entries {
 		if to != from && from.reaches(to) {
-			to.TakeWords(from.name, []runworks.ServerNotice{notice})
+			to.ApplyNotices(from.name, []runworks.ServerNotice{notice})
 		}
 	}
 }
 
 // lend asks another entry for a loan; the question and the answer take a way each.
-func (p *press) lend(from *pressEntry, loan *Loan) int {
+func (p *press) lend(from *pressEntry, loan *PermitTransfer) int {
 	time.Sleep(pressWay)
 	p.mu.Lock()
 	var lender *pressEntry
 	for _, to := range p.entries {
-		if to.Self == loan.Lender && from.reaches(to) {
+		if to.Self == loan.Donor && from.reaches(to) {
 			lender = to
 		}
 	}
 	p.mu.Unlock()
 	n := 0
 	if lender != nil {
-		n = lender.Lend(loan.Server, loan.Requests)
+		n = lender.TransferPermits(loan.Server, loan.Permits)
 	}
 	time.Sleep(pressWay)
 	return n
@@ -133,22 +133,22 @@
 		p.mu.Lock()
 		now := time.Now()
 		for _, from := range p.entries {
-			load := from.Own()
+			load := from.LocalLoad()
 			for _, to := range p.entries {
 				if to == from || !from.reaches(to) {
 					continue
 				}
 				if to.heard[from.Self].IsZero() {
-					to.TakeWords(from.name, from.Words())
+					to.ApplyNotices(from.name, from.ServerNotices())
 				}
 				to.heard[from.Self] = now
-				to.Report(from.Self, load)
+				to.SetPeerLoad(from.Self, load)
 			}
 		}
 		for _, e := range p.entries {
 			for id, last := range e.heard {
 				if !e.frozen && now.Sub(last) > pressSilent {
-					e.Lose(id)
+					e.MarkPeerUnreachable(id)
 					delete(e.heard, id)
 				}
 			}
@@ -235,7 +235,7 @@
 	p.served++
 	p.left(server)
 	p.mu.Unlock()
-	lease.Hear(&runworks.ServerReport{Limit: &runworks.RateLimit{Named: named, PerSecond: limit}}, sent)
+	lease.ApplyReport(&runworks.ServerReport{Limit: &runworks.RateLimit{Named: named, PerSecond: limit}}, sent)
 	lease.Release(Served)
 }
 
@@ -398,6 +398,6 @@
 	p.entries[i] = p.start(e.name, e.weight)
 	for _, other := range p.entries {
 		delete(other.heard, e.Self)
-		other.Forget(e.Self)
+		other.RemovePeer(e.Self)
 	}
 }
--- a/services/dispatch/words.go
+++ b/services/dispatch/report.go
@@ -20,9 +20,9 @@
 	toldLoad *runworks.ServerLoad
 }
 
-// Hear takes what the call's server says of itself, in the answer to a request that was sent
+// ApplyReport takes what the call's server says of itself, in the answer to a request that was sent
 // at that time.
-func (l *Lease) Hear(word *runworks.ServerReport, sent time.Time) {
+func (l *Lease) ApplyReport(word *runworks.ServerReport, sent time.Time) {
 	d := l.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,9 +51,9 @@
 	}
 }
 
-// Withdrawn says whether the call's server takes nothing more by now: a call that got its slot
+// Unavailable says whether the call's server takes nothing more by now: a call that got its slot
 // before may still wait for a connection.
-func (l *Lease) Withdrawn() bool {
+func (l *Lease) Unavailable() bool {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
 	return l.server.Draining || l.server.rest.asked(time.Now())
--- a/services/dispatch/words_lapsed.go
+++ b/services/dispatch/report_expired.go
@@ -21,7 +21,7 @@
 // store was away, and the server, which goes on, may come back with it. Without its words all
 // entries would fill its slots until it says them anew.
 func (d *Dispatcher) keepLapsed(now time.Time, s *server) {
-	if !s.limit.InForce(now) && !s.leaving && !s.rest.asked(now) {
+	if !s.limit.Active(now) && !s.leaving && !s.rest.asked(now) {
 		return
 	}
 	if d.expiredReports == nil {
--- a/services/dispatch/words_test.go
+++ b/services/dispatch/report_test.go
@@ -17,7 +17,7 @@
 // hears has a server say something of itself to a dispatcher, in the answer to a call.
 func hears(d *Dispatcher, life string, word *runworks.ServerReport) {
 	lease := &Lease{dispatcher: d, server: d.servers[life], Instance: d.servers[life].Instance}
-	lease.Hear(word, time.Now())
+	lease.ApplyReport(word, time.Now())
 }
 
 // TestLeavingByItsWord sends nothing more to a server that says that it leaves, whatever its
@@ -30,33 +30,33 @@
 		var told []runworks.ServerNotice
 		d.SendServerNotice = func(n runworks.ServerNotice) { told = append(told, n) }
 		d.OnEject = func(runworks.Instance, int, time.Duration) { t.Error("left out") }
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		running := taken(t, d, "running")
 		waiting := taken(t, d, "waits for a connection")
-		is.True(!waiting.Withdrawn())
+		is.True(!waiting.Unavailable())
 		hears(d, "s0/100", leaves)
 		hears(d, "s0/100", leaves)
 		is.Equal(told, []runworks.ServerNotice{{Server: "s0/100", Draining: true}})
-		is.Equal(d.Words(), told)
-		is.True(waiting.Withdrawn())
+		is.Equal(d.ServerNotices(), told)
+		is.True(waiting.Unavailable())
 		waiting.Release(Abandoned)
 		nothing := func() {
 			t.Helper()
 			_, err := d.Acquire(context.Background(), ask("new", 0))
 			is.True(errors.Is(err, runworks.ErrNoServer))
-			is.Equal(d.Lend("s0/100", 1), 0)
+			is.Equal(d.TransferPermits("s0/100", 1), 0)
 		}
 		nothing()
-		is.Equal(len(d.Replace([]runworks.Instance{bornAt(100)}).Left), 0) // it is ready, says the record
+		is.Equal(len(d.SetServers([]runworks.Instance{bornAt(100)}).Withdrawn), 0) // it is ready, says the record
 		nothing()
-		change := d.Replace(nil)
-		is.Equal(len(change.Gone)+len(change.Left), 0)
+		change := d.SetServers(nil)
+		is.Equal(len(change.Exited)+len(change.Withdrawn), 0)
 		time.Sleep(30 * time.Second)
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		nothing()
-		is.Equal(len(d.Own().Ejected), 0)
+		is.Equal(len(d.LocalLoad().Ejected), 0)
 		running.Release(Served)
-		d.Replace([]runworks.Instance{bornAt(200)})
+		d.SetServers([]runworks.Instance{bornAt(200)})
 		is.Equal(taken(t, d, "next life").Instance.Generation, int64(200))
 	})
 }
@@ -68,21 +68,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{Hall: "a"}
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		away, back, over := taken(t, d, "away"), taken(t, d, "back"), taken(t, d, "over")
-		d.Replace(nil)
-		away.Hear(leaves, time.Now())
-		d.Replace([]runworks.Instance{bornAt(100)})
-		is.True(d.Loads()[0].SaysLeaving)
+		d.SetServers(nil)
+		away.ApplyReport(leaves, time.Now())
+		d.SetServers([]runworks.Instance{bornAt(100)})
+		is.True(d.ServerStatuses()[0].ReportedDraining)
 
-		d.Replace([]runworks.Instance{bornAt(100)})
+		d.SetServers([]runworks.Instance{bornAt(100)})
 		d.servers["s0/100"].words = words{}
-		back.Hear(leaves, time.Now())
-		is.True(d.Loads()[0].SaysLeaving)
+		back.ApplyReport(leaves, time.Now())
+		is.True(d.ServerStatuses()[0].ReportedDraining)
 
-		d.Replace([]runworks.Instance{bornAt(200)})
-		over.Hear(leaves, time.Now())
-		is.True(!d.Loads()[0].SaysLeaving)
+		d.SetServers([]runworks.Instance{bornAt(200)})
+		over.ApplyReport(leaves, time.Now())
+		is.True(!d.ServerStatuses()[0].ReportedDraining)
 	})
 }
 
@@ -93,25 +93,25 @@
 		is := is.New(t)
 		d := newDispatcher(4, 4)
 		d.SendServerNotice = func(runworks.ServerNotice) { t.Error("told on") }
-		d.TakeWords("other", []runworks.ServerNotice{{Server: "s1", Draining: true}, {Server: "s2", Draining: true}})
+		d.ApplyNotices("other", []runworks.ServerNotice{{Server: "s1", Draining: true}, {Server: "s2", Draining: true}})
 		limit := &runworks.RateLimit{Named: true, PerSecond: 3}
-		d.TakeWords("other", []runworks.ServerNotice{{Server: "s3", Limit: limit, LimitAgeMs: 1000}})
+		d.ApplyNotices("other", []runworks.ServerNotice{{Server: "s3", Limit: limit, LimitAgeMs: 1000}})
 		time.Sleep(time.Second)
-		d.TakeWords("other", []runworks.ServerNotice{{Server: "s3", Draining: true}, {Server: "s2", Limit: limit}})
+		d.ApplyNotices("other", []runworks.ServerNotice{{Server: "s3", Draining: true}, {Server: "s2", Limit: limit}})
 		time.Sleep(runworks.EntryTimeout)
-		d.Replace(instances(4, 4, 4))
+		d.SetServers(instances(4, 4, 4))
 		is.Equal(served(t, d), map[string]int{"s0": 4})
-		is.Equal(len(d.Words()), 2)
-		d.Replace(instances(4, 4, 4, 4))
-		is.Equal(len(d.Words()), 3)
-		for _, one := range d.Words() {
+		is.Equal(len(d.ServerNotices()), 2)
+		d.SetServers(instances(4, 4, 4, 4))
+		is.Equal(len(d.ServerNotices()), 3)
+		for _, one := range d.ServerNotices() {
 			is.True(one.Draining)
 			if one.Server == "s3" {
 				is.Equal(*one.Limit, *limit)
 				is.True(one.LimitAgeMs >= 12000)
 			}
 		}
-		d.Replace(nil)
+		d.SetServers(nil)
 		time.Sleep(2 * lapsedKept)
 		d.tendLapsedLocked(time.Now())
 		is.Equal(len(d.expiredReports), 0)
@@ -132,28 +132,28 @@
 			_, err := d.Acquire(context.Background(), ask("new", 0))
 			is.True(errors.Is(err, runworks.ErrNoServer))
 		}
-		d.Replace([]runworks.Instance{ready})
-		is.Equal(len(d.Replace([]runworks.Instance{draining}).Left), 1)
-		is.Equal(len(d.Replace([]runworks.Instance{ready}).Left), 0)
+		d.SetServers([]runworks.Instance{ready})
+		is.Equal(len(d.SetServers([]runworks.Instance{draining}).Withdrawn), 1)
+		is.Equal(len(d.SetServers([]runworks.Instance{ready}).Withdrawn), 0)
 		nothing(d)
-		d.Replace(nil) // it went
+		d.SetServers(nil) // it went
 		word := []runworks.ServerNotice{{Server: "s0/100", Draining: true}}
-		is.Equal(d.Words(), word)
+		is.Equal(d.ServerNotices(), word)
 		started := &Dispatcher{Hall: "a"}
-		started.TakeWords("other", d.Words())
+		started.ApplyNotices("other", d.ServerNotices())
 		for _, one := range []*Dispatcher{d, started} {
-			one.Replace([]runworks.Instance{ready})
+			one.SetServers([]runworks.Instance{ready})
 			nothing(one)
-			is.Equal(one.Words(), word)
+			is.Equal(one.ServerNotices(), word)
 		}
-		d.Replace([]runworks.Instance{bornAt(200)})
+		d.SetServers([]runworks.Instance{bornAt(200)})
 		taken(t, d, "next life").Release(Served)
 
 		unreadable := bornAt(200)
 		unreadable.Unreadable = true
-		is.Equal(len(d.Replace([]runworks.Instance{unreadable}).Left), 1)
+		is.Equal(len(d.SetServers([]runworks.Instance{unreadable}).Withdrawn), 1)
 		nothing(d)
-		d.Replace([]runworks.Instance{bornAt(200)})
+		d.SetServers([]runworks.Instance{bornAt(200)})
 		taken(t, d, "it wrote again").Release(Served)
 	})
 }
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -35,7 +35,7 @@
 	for i := range engines {
 		list = append(list, runworks.Instance{ID: "i-" + uuid.NewString()[:8], Service: "llm", Hall: fmt.Sprint("h", i%5), Slots: slots})
 	}
-	d.Replace(list)
+	d.SetServers(list)
 	lives := make([]runworks.Incarnation, peers)
 	loads := make([]runworks.EntryLoad, peers)
 	for i := range peers {
@@ -54,7 +54,7 @@
 		loads[i%peers].Running[server]++
 	}
 	for i := range peers {
-		d.Report(lives[i], loads[i])
+		d.SetPeerLoad(lives[i], loads[i])
 	}
 	now := time.Now()
 	for i := range waiting {
@@ -64,12 +64,12 @@
 		}
 		go func() { _, _ = d.Acquire(ctx, ask) }()
 	}
-	for d.Waiting()["llm"] < waiting-8 {
+	for d.WaitingCalls()["llm"] < waiting-8 {
 		time.Sleep(time.Millisecond)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		d.Report(lives[i%peers], loads[i%peers])
+		d.SetPeerLoad(lives[i%peers], loads[i%peers])
 	}
 }
 
@@ -83,11 +83,11 @@
 		life := runworks.Incarnation(fmt.Sprint("life-", rng.IntN(12)))
 		switch rng.IntN(12) {
 		case 0:
-			d.Forget(life)
+			d.RemovePeer(life)
 		case 1:
-			d.Replace(instances(make([]int, rng.IntN(20))...))
+			d.SetServers(instances(make([]int, rng.IntN(20))...))
 		default:
-			d.Report(life, drawnLoad(rng))
+			d.SetPeerLoad(life, drawnLoad(rng))
 		}
 		got := sums(d)
 		for _, s := range d.servers {
@@ -140,10 +140,10 @@
 			lease.Release(Served)
 		}
 		for i := range 20 {
-			d.Report(runworks.Incarnation(fmt.Sprint("rival-", i)), runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1000}}})
+			d.SetPeerLoad(runworks.Incarnation(fmt.Sprint("rival-", i)), runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1000}}})
 		}
-		d.Report("busy", runs(runworks.RunningCalls{"s0": 5}))
-		d.Own() // the others know by now of the slots that calls left here
+		d.SetPeerLoad("busy", runs(runworks.RunningCalls{"s0": 5}))
+		d.LocalLoad() // the others know by now of the slots that calls left here
 		is.Equal(len(acquired(d, ask("short", 0))), 1)
 	})
 }
@@ -157,14 +157,14 @@
 			d := newDispatcher(9, 9)
 			life := func(i int) runworks.Incarnation { return runworks.Incarnation(fmt.Sprint("life-", i)) }
 			for i := range c.entries {
-				d.Report(life(i), runworks.EntryLoad{})
+				d.SetPeerLoad(life(i), runworks.EntryLoad{})
 			}
 			for i := range c.needed {
 				is.True(d.servers["s0"].doubted.IsZero())
-				d.Report(life(i), runworks.EntryLoad{Ejected: []string{"s0"}})
+				d.SetPeerLoad(life(i), runworks.EntryLoad{Ejected: []string{"s0"}})
 			}
 			is.True(!d.servers["s0"].doubted.IsZero())
-			d.Report(life(0), runworks.EntryLoad{})
+			d.SetPeerLoad(life(0), runworks.EntryLoad{})
 			is.True(d.servers["s0"].doubted.IsZero())
 		})
 	}
--- a/services/dispatch/server.go
+++ b/services/dispatch/server.go
@@ -86,7 +86,7 @@
 		s.busy = now
 	}
 	s.own++
-	s.limit.Spend(now)
+	s.limit.Consume(now)
 	s.rest.spend()
 	s.vacated = max(s.vacated-1, 0)
 	if s.leases == nil {
@@ -127,16 +127,16 @@
 		s.failures = 0
 		s.failed = 0
 		s.suspended = time.Time{}
-	case TurnedAway:
+	case Rejected:
 		s.full = now.Add(fullPause)
-	case Unreachable, Broken:
+	case Unreachable, Interrupted:
 		s.failures++
 		if r == Unreachable || s.failures >= failuresToSuspend {
 			wait := min(firstSuspension<<min(s.failures, 5), lastSuspension)
 			s.suspended = now.Add(wait)
 			return wait
 		}
-	case Moved:
+	case AddressReused:
 		s.moved = true
 	case Failed:
 		s.failures = 0
@@ -153,14 +153,14 @@
 const (
 	// Served means that the server gave a whole answer.
 	Served Result = iota
-	// TurnedAway means that the server said that it did not run the call.
-	TurnedAway
+	// Rejected means that the server said that it did not run the call.
+	Rejected
 	// Unreachable means that no byte of the call left.
 	Unreachable
-	// Broken means that the call was sent and no whole answer came.
-	Broken
-	// Moved means that another backend server has the address.
-	Moved
+	// Interrupted means that the call was sent and no whole answer came.
+	Interrupted
+	// AddressReused means that another backend server has the address.
+	AddressReused
 	// Abandoned means that the caller left or the time was over.
 	Abandoned
 	// Failed means that the server answered that it failed.
--- a/services/dispatch/fleet.go
+++ b/services/dispatch/server_set.go
@@ -8,22 +8,22 @@
 	"github.com/runworks/runworks/services/reservation"
 )
 
-// FleetChange tells what a new list of backend servers changed.
-type FleetChange struct {
-	// Added are the servers that are new, and Left those that leave or are gone.
-	Added, Left []runworks.Instance
-	// Ended are the lives that are over, as their servers started again, and Gone those and
+// ServerSetChange tells what a new list of backend servers changed.
+type ServerSetChange struct {
+	// Added are the servers that are new, and Withdrawn those that leave or are gone.
+	Added, Withdrawn []runworks.Instance
+	// Restarted are the lives that are over, as their servers started again, and Exited those and
 	// the ones that are on the list no more and had not said that they leave.
-	Ended, Gone []runworks.Instance
+	Restarted, Exited []runworks.Instance
 }
 
-// Replace puts the list of backend servers in force. A server that is on it no
+// SetServers puts the list of backend servers in force. A server that is on it no
 // more is leaving: what it runs goes on, and it gets nothing new. Of one that started
 // again nothing is known, and the calls that its last life had are told so.
-func (d *Dispatcher) Replace(list []runworks.Instance) FleetChange {
+func (d *Dispatcher) SetServers(list []runworks.Instance) ServerSetChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out FleetChange
+	var out ServerSetChange
 	now := time.Now()
 	old := d.servers
 	d.servers = make(map[string]*server, len(list))
@@ -33,12 +33,12 @@
 		s := old[life]
 		if s == nil {
 			s = &server{life: life, words: d.takeLapsed(life)}
-			if s.limit.InForce(now) {
+			if s.limit.Active(now) {
 				d.partLimitLocked(now, s) // the entries may have changed meanwhile
 			}
 			out.Added = append(out.Added, one)
 		} else if one.Unavailable() && !s.Draining {
-			out.Left = append(out.Left, one)
+			out.Withdrawn = append(out.Withdrawn, one)
 		}
 		s.leaving = s.leaving || one.Draining
 		s.Instance = one
@@ -51,13 +51,13 @@
 			continue
 		}
 		if !s.Draining {
-			out.Gone = append(out.Gone, s.Instance)
+			out.Exited = append(out.Exited, s.Instance)
 		}
 		if d.newest[s.ID] != nil {
-			out.Ended = append(out.Ended, s.Instance)
+			out.Restarted = append(out.Restarted, s.Instance)
 			s.end()
 		} else if !s.Draining {
-			out.Left = append(out.Left, s.Instance)
+			out.Withdrawn = append(out.Withdrawn, s.Instance)
 		}
 		s.Draining = true
 		d.keepLapsed(now, s)
@@ -107,9 +107,9 @@
 	}
 }
 
-// Own gives what this entry runs and what waits here, for the others. They may take
+// LocalLoad gives what this entry runs and what waits here, for the others. They may take
 // the slots that calls left here from now on.
-func (d *Dispatcher) Own() runworks.EntryLoad {
+func (d *Dispatcher) LocalLoad() runworks.EntryLoad {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := runworks.EntryLoad{Running: make(runworks.RunningCalls), Waiting: make(runworks.WaitingCalls), ConsecutiveFailures: map[string]int{}, UnreadPromptTokens: map[string]int{}}
@@ -138,10 +138,10 @@
 	return out
 }
 
-// Report takes what another entry runs and what waits there, in place of what it told
+// SetPeerLoad takes what another entry runs and what waits there, in place of what it told
 // before. Only what the two tell of is looked at: adding up all entries again would cost a
 // large fleet more with each heartbeat than anything else does.
-func (d *Dispatcher) Report(from runworks.Incarnation, load runworks.EntryLoad) {
+func (d *Dispatcher) SetPeerLoad(from runworks.Incarnation, load runworks.EntryLoad) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.peers == nil {
@@ -156,8 +156,8 @@
 	d.exchangeLocked(&old, &load)
 }
 
-// Forget counts the calls of another entry as ended: it is gone.
-func (d *Dispatcher) Forget(from runworks.Incarnation) {
+// RemovePeer counts the calls of another entry as ended: it is gone.
+func (d *Dispatcher) RemovePeer(from runworks.Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.unreachable, from)
@@ -165,9 +165,9 @@
 	d.partLimitsLocked(time.Now())
 }
 
-// Lose counts the calls of another entry as ended that fell silent. It may still send, only
+// MarkPeerUnreachable counts the calls of another entry as ended that fell silent. It may still send, only
 // out of touch: it keeps its part of the servers' limits until it counts as gone.
-func (d *Dispatcher) Lose(from runworks.Incarnation) {
+func (d *Dispatcher) MarkPeerUnreachable(from runworks.Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.unreachable == nil {
@@ -250,46 +250,46 @@
 	}
 }
 
-// Load is the state of one backend server for operators.
-type Load struct {
-	ID        string    `json:"id"`
-	Born      int64     `json:"born,omitempty"`
-	Service   string    `json:"service"`
-	Hall      string    `json:"hall"`
-	Slots     int       `json:"slots"`
-	Own       int       `json:"own"`
-	Others    int       `json:"others"`
-	Leaving   bool      `json:"leaving,omitempty"`
-	Suspended time.Time `json:"suspended_until,omitzero"`
+// ServerStatus is the state of one backend server for operators.
+type ServerStatus struct {
+	ID           string    `json:"id"`
+	Generation   int64     `json:"born,omitempty"`
+	Service      string    `json:"service"`
+	Hall         string    `json:"hall"`
+	Slots        int       `json:"slots"`
+	OwnCalls     int       `json:"own"`
+	PeerCalls    int       `json:"others"`
+	Draining     bool      `json:"leaving,omitempty"`
+	EjectedUntil time.Time `json:"suspended_until,omitzero"`
 	// Limit is what the server said last of the requests that it takes, and LimitPart this
 	// entry's part of it in requests a second.
-	Limit     runworks.RateLimit `json:"limit,omitzero"`
-	LimitPart float64            `json:"limit_part,omitempty"`
-	// SaysLeaving is its own word that it leaves, RestsUntil until when it wants nothing from
+	Limit      runworks.RateLimit `json:"limit,omitzero"`
+	LimitShare float64            `json:"limit_part,omitempty"`
+	// ReportedDraining is its own word that it leaves, RestsUntil until when it wants nothing from
 	// this entry, and Told what it had to do by its newest answer.
-	SaysLeaving bool                 `json:"says_leaving,omitempty"`
-	RestsUntil  time.Time            `json:"rests_until,omitzero"`
-	Told        *runworks.ServerLoad `json:"told,omitempty"`
+	ReportedDraining bool                 `json:"says_leaving,omitempty"`
+	BackoffUntil     time.Time            `json:"rests_until,omitzero"`
+	ReportedLoad     *runworks.ServerLoad `json:"told,omitempty"`
 }
 
-// Loads gives the state of all backend servers.
-func (d *Dispatcher) Loads() []Load {
+// ServerStatuses gives the state of all backend servers.
+func (d *Dispatcher) ServerStatuses() []ServerStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := make([]Load, 0, len(d.servers))
+	out := make([]ServerStatus, 0, len(d.servers))
 	for _, s := range d.servers {
-		limit, _ := s.limit.Word()
-		out = append(out, Load{
-			ID: s.ID, Born: s.Generation, Service: s.Service, Hall: s.Hall, Slots: s.Slots, Own: s.own, Others: s.others,
-			Leaving: s.Draining, Suspended: s.suspended, Limit: limit, LimitPart: s.limit.Part().PerSecond,
-			SaysLeaving: s.leaving, RestsUntil: s.rest.until, Told: s.toldLoad,
+		limit, _ := s.limit.Reported()
+		out = append(out, ServerStatus{
+			ID: s.ID, Generation: s.Generation, Service: s.Service, Hall: s.Hall, Slots: s.Slots, OwnCalls: s.own, PeerCalls: s.others,
+			Draining: s.Draining, EjectedUntil: s.suspended, Limit: limit, LimitShare: s.limit.Share().PerSecond,
+			ReportedDraining: s.leaving, BackoffUntil: s.rest.until, ReportedLoad: s.toldLoad,
 		})
 	}
 	return out
 }
 
-// Waiting gives how many calls wait for each service.
-func (d *Dispatcher) Waiting() map[string]int {
+// WaitingCalls gives how many calls wait for each service.
+func (d *Dispatcher) WaitingCalls() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make(map[string]int, len(d.services))
--- a/services/dispatch/withheld.go
+++ b/services/dispatch/throttle.go
@@ -18,7 +18,7 @@
 		if one.Draining {
 			continue
 		}
-		if !one.limit.InForce(now) && !one.rest.asked(now) {
+		if !one.limit.Active(now) && !one.rest.asked(now) {
 			return false
 		}
 		n++
@@ -36,7 +36,7 @@
 			continue
 		}
 		soonest = min(soonest, max(one.limit.Wait(now), one.rest.wait(now)))
-		rate += one.limit.Part().PerSecond
+		rate += one.limit.Share().PerSecond
 		lends = lends || !one.rest.asked(now)
 	}
 	if lends && s.permitRequests.likely(now, ahead) {
@@ -48,9 +48,9 @@
 	return soonest + float64(ahead)/rate
 }
 
-// RestsFor is for how much longer all servers rest that a service's calls may go to; 0 if one
+// BackoffRemaining is for how much longer all servers rest that a service's calls may go to; 0 if one
 // does not.
-func (d *Dispatcher) RestsFor(service string) time.Duration {
+func (d *Dispatcher) BackoffRemaining(service string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s := d.services[service]; s != nil {
--- a/services/dispatch/turn.go
+++ b/services/dispatch/turn.go
@@ -32,7 +32,7 @@
 	contenders := d.contenders(s.name, own.Rank)
 	out := available[:0]
 	for _, one := range available {
-		if one.limit.InForce(now) {
+		if one.limit.Active(now) {
 			out = append(out, one) // each entry has a part of its own
 			continue
 		}
--- a/services/dispatch/turn_test.go
+++ b/services/dispatch/turn_test.go
@@ -27,10 +27,10 @@
 // tell lets all entries hear what the others have, as one heartbeat does.
 func (f fleet) tell() {
 	for _, from := range f {
-		load := from.Own()
+		load := from.LocalLoad()
 		for _, to := range f {
 			if to != from {
-				to.Report(from.Self, load)
+				to.SetPeerLoad(from.Self, load)
 			}
 		}
 	}
@@ -40,13 +40,13 @@
 // fill lets another entry have the only slot, and free ends that at all entries.
 func (f fleet) fill() {
 	for _, d := range f {
-		d.Report("elsewhere", runs(runworks.RunningCalls{"s0": 1}))
+		d.SetPeerLoad("elsewhere", runs(runworks.RunningCalls{"s0": 1}))
 	}
 }
 
 func (f fleet) free() {
 	for _, d := range f {
-		d.Forget("elsewhere")
+		d.RemovePeer("elsewhere")
 	}
 	synctest.Wait()
 }
@@ -95,10 +95,10 @@
 		d.Self = "here"
 		load := runs(runworks.RunningCalls{"s0": 1})
 		load.Waiting = runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1_000_000}}
-		d.Report("first", load)
+		d.SetPeerLoad("first", load)
 		waiting := acquired(d, ask("waits", 0))
 		load.Running = nil
-		d.Report("first", load)
+		d.SetPeerLoad("first", load)
 		synctest.Wait()
 		is.Equal(len(waiting), 0)
 		time.Sleep(d.turnDuration())
@@ -136,7 +136,7 @@
 		d := newDispatcher(1)
 		d.Self = "here"
 		first := taken(t, d, "first")
-		d.Report("other", runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1_000_000}}})
+		d.SetPeerLoad("other", runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1_000_000}}})
 		waiting := acquired(d, ask("waits", 0))
 		first.Release(Served)
 		synctest.Wait()
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -84,7 +84,7 @@
 		e.HostsPoll = DefaultHostsPoll
 	}
 	e.incarnation = runworks.NewIncarnation()
-	e.retries.Earned, e.retries.Most = retryEarned, retryMost
+	e.retries.Ratio, e.retries.Max = retryEarned, retryMost
 	e.members = make(map[string]*member)
 	e.links = make(map[*link]struct{})
 	e.pending = make(map[runworks.RequestID]*pending)
--- a/services/entry/place_test.go
+++ b/services/entry/place_test.go
@@ -119,12 +119,12 @@
 	is := is.New(t)
 	e := &Entry{Logger: hclog.NewNullLogger()}
 	e.Start()
-	is.True(!e.retries.Spend()) // nothing earned yet
+	is.True(!e.retries.TryWithdraw()) // nothing earned yet
 	for range 1000 {
-		e.retries.Earn()
+		e.retries.Deposit()
 	}
 	n := 0
-	for e.retries.Spend() {
+	for e.retries.TryWithdraw() {
 		n++
 	}
 	is.Equal(n, int(retryMost))
--- a/services/entry/serve.go
+++ b/services/entry/serve.go
@@ -49,7 +49,7 @@
 // serveFresh places a request and runs it, and places it again while that is
 // proved to be safe.
 func (e *Entry) serveFresh(ctx context.Context, req *runworks.Request, bind bind) (*Answer, error) {
-	e.retries.Earn()
+	e.retries.Deposit()
 	wait := newBackoff()
 	for attempt := 1; ; attempt++ {
 		answer, err := e.attempt(ctx, req, attempt, bind)
@@ -112,7 +112,7 @@
 	if failure.Outcome == runworks.OutcomeNotRun {
 		return errors.Is(failure, runworks.ErrNotDispatched)
 	}
-	return req.Kind == runworks.KindPlain && req.Repeatable && req.IdempotencyKey == "" && e.retries.Spend()
+	return req.Kind == runworks.KindPlain && req.Repeatable && req.IdempotencyKey == "" && e.retries.TryWithdraw()
 }
 
 // countFailure counts a request that was given up on or failed.
--- a/services/forward/giveup.go
+++ b/services/forward/abort.go
@@ -6,10 +6,10 @@
 	"github.com/runworks/runworks"
 )
 
-// GiveUp ends all calls that have no answer yet, near the end of a planned stop: each
+// AbortPending ends all calls that have no answer yet, near the end of a planned stop: each
 // gets a final one, where the end would cut its connection without a word. Answers that
 // have begun go on.
-func (f *Forwarder) GiveUp() {
+func (f *Forwarder) AbortPending() {
 	f.prepare()
 	f.end()
 }
--- a/services/forward/answer.go
+++ b/services/forward/answer.go
@@ -39,7 +39,7 @@
 	}
 	_ = reply.Body.Close()
 	if err != nil {
-		lease.Release(c.endOf(ctx, time.Now(), dispatch.Broken))
+		lease.Release(c.endOf(ctx, time.Now(), dispatch.Interrupted))
 		c.noteEnd(ctx, lease.Instance, time.Time{})
 		return c.again(ctx, c.broken(ctx, err), nil)
 	}
--- a/services/forward/attempt.go
+++ b/services/forward/attempt.go
@@ -27,24 +27,24 @@
 	send.BeforeSend = func() error { return c.wanted(lease) }
 	metrics.Count(c.f.Metrics.Dispatches, metrics.Rank(c.rank))
 	c.sent = time.Now()
-	c.verdict.Draw.Spend(c.sent)
+	c.verdict.Debit.Commit(c.sent)
 	reply, err := c.send(spanCtx, send)
 	if err != nil {
 		return nil, c.unanswered(ctx, lease, err)
 	}
 	if reply.AddressReused {
 		_ = reply.Body.Close()
-		lease.Release(dispatch.Moved)
+		lease.Release(dispatch.AddressReused)
 		return nil, c.notRun(errorx.Decorate(runworks.ErrRejected, "another server has the address of %s", lease.Instance.ID))
 	}
 	c.hear(lease, reply)
 	if reply.NotRun {
 		_ = reply.Body.Close()
-		lease.Release(dispatch.TurnedAway)
+		lease.Release(dispatch.Rejected)
 		return nil, c.notRun(errorx.Decorate(runworks.ErrRejected, "%s answered %d", lease.Instance.ID, reply.Status))
 	}
 	c.ran++
-	lease.Responded()
+	lease.RecordHeaders()
 	return reply, nil
 }
 
@@ -64,7 +64,7 @@
 		lease.Release(c.endOf(ctx, c.sent, dispatch.Unreachable))
 	default:
 		c.ran++
-		lease.Release(c.endOf(ctx, c.sent, dispatch.Broken))
+		lease.Release(c.endOf(ctx, c.sent, dispatch.Interrupted))
 		c.noteEnd(ctx, lease.Instance, time.Time{})
 		return c.broken(ctx, err)
 	}
@@ -77,7 +77,7 @@
 		c.f.Logger.Warn("what a backend server says of itself can't be read, what was known of it stays", "server", lease.Instance.IncarnationID(),
 			"service", c.service, "request", c.in.ID, "error", reply.ReportErr.Error())
 	}
-	lease.Hear(&reply.Report, c.sent)
+	lease.ApplyReport(&reply.Report, c.sent)
 }
 
 // send sends the call. A server that stays silent loses a call that another may
@@ -110,7 +110,7 @@
 		return runworks.ErrCallerDisconnected
 	case c.held(time.Now()) > 0:
 		return runworks.ErrQuarantined
-	case lease.Withdrawn():
+	case lease.Unavailable():
 		return errorx.Decorate(runworks.ErrServerUnavailable, "%s", lease.Instance.ID)
 	}
 	return c.late()
@@ -168,7 +168,7 @@
 	if c.ran > 0 && (!c.repeatable() || c.ran >= c.route.MaxAttempts) {
 		return false
 	}
-	return c.f.Budgets.Spend(c.service)
+	return c.f.Budgets.TakeRetry(c.service)
 }
 
 // repeatable says whether the call may run more than once.
--- a/services/forward/words_test.go
+++ b/services/forward/backoff_test.go
@@ -29,7 +29,7 @@
 			s.connected = func(server runworks.Instance) {
 				if all || left == 0 {
 					left++
-					f.Dispatcher.TakeWords("other", []runworks.ServerNotice{{Server: server.IncarnationID(), Draining: true}})
+					f.Dispatcher.ApplyNotices("other", []runworks.ServerNotice{{Server: server.IncarnationID(), Draining: true}})
 				}
 			}
 			_, _, err := serve(context.Background(), f, "once")
@@ -84,7 +84,7 @@
 		f := newForwarder(t, &sender{replies: []reply{resting}}, io.Discard)
 		_, _, err := serve(context.Background(), f, "stream")
 		is.True(errors.Is(err, runworks.ErrRejected))
-		ends := f.Dispatcher.RestsFor("app")
+		ends := f.Dispatcher.BackoffRemaining("app")
 		const calls = 100
 		parts := [5]int{}
 		for range calls {
--- a/services/forward/budgets.go
+++ b/services/forward/budgets.go
@@ -36,29 +36,29 @@
 	}
 	b.entries = n
 	for _, one := range b.services {
-		one.Limit(b.part())
+		one.SetMax(b.part())
 	}
 }
 
-// SetRates changes the part of a retry that calls earn, and the slack.
-func (b *Budgets) SetRates(ratio, slack float64) {
+// Configure changes the part of a retry that calls earn, and the slack.
+func (b *Budgets) Configure(ratio, slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Ratio, b.Slack = ratio, slack
 	for _, one := range b.services {
-		one.SetEarned(ratio)
-		one.Limit(b.part())
+		one.SetRatio(ratio)
+		one.SetMax(b.part())
 	}
 }
 
 // part is this entry's part of the slack.
 func (b *Budgets) part() float64 { return b.Slack / float64(max(b.entries, 1)) }
 
-// Earn notes a call for a service.
-func (b *Budgets) Earn(service string) { b.of(service).Earn() }
+// RecordCall notes a call for a service.
+func (b *Budgets) RecordCall(service string) { b.of(service).Deposit() }
 
-// Spend takes one retry at a service, if there is one left.
-func (b *Budgets) Spend(service string) bool { return b.of(service).Spend() }
+// TakeRetry takes one retry at a service, if there is one left.
+func (b *Budgets) TakeRetry(service string) bool { return b.of(service).TryWithdraw() }
 
 func (b *Budgets) of(service string) *retry.Budget {
 	b.mu.Lock()
@@ -69,8 +69,8 @@
 		if b.services == nil {
 			b.services = make(map[string]*retry.Budget)
 		}
-		one = &retry.Budget{Earned: b.Ratio}
-		one.Limit(b.part())
+		one = &retry.Budget{Ratio: b.Ratio}
+		one.SetMax(b.part())
 		if b.opened {
 			one.Fill()
 		}
--- a/services/forward/budgets_test.go
+++ b/services/forward/budgets_test.go
@@ -18,7 +18,7 @@
 		is := is.New(t)
 		spent := 0
 		spend := func(b *Budgets) {
-			for b.Spend("app") {
+			for b.TakeRetry("app") {
 				spent++
 			}
 		}
@@ -41,11 +41,11 @@
 		is := is.New(t)
 		b := &Budgets{Ratio: 0.2, Slack: 20, Started: time.Now(), Window: 10 * time.Second}
 		b.SetEntries(2)
-		is.True(!b.Spend("met"))
+		is.True(!b.TakeRetry("met"))
 		time.Sleep(b.Window)
 		for _, service := range []string{"met", "new"} {
 			n := 0
-			for b.Spend(service) {
+			for b.TakeRetry(service) {
 				n++
 			}
 			is.Equal(n, 10)
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -64,8 +64,8 @@
 	Logger     hclog.Logger
 	Metrics    *metrics.Set
 	Tracer     trace.Tracer
-	// Opened is closed once the entry has read its state; nil if it has.
-	Opened <-chan struct{}
+	// Ready is closed once the entry has read its state; nil if it has.
+	Ready <-chan struct{}
 	// Stopping is set near the end of a planned stop: streams, which may last, are
 	// refused as not run.
 	Stopping atomic.Bool
@@ -108,7 +108,7 @@
 	// sends counts those that a byte of the call was sent to.
 	sends int
 	// verdict is what the customer's limit let the call through on, with its draw.
-	verdict quota.Verdict
+	verdict quota.Decision
 	// waited is the time spent in the queue.
 	waited time.Duration
 	// sent is when the call went to the last server.
@@ -180,22 +180,22 @@
 			return failure
 		}
 	}
-	c.service = route.Share(c.route, c.in.ID)
+	c.service = route.PickService(c.route, c.in.ID)
 	c.deadline = c.in.Received.Add(c.allowed())
-	c.f.Budgets.Earn(c.service)
+	c.f.Budgets.RecordCall(c.service)
 	return nil
 }
 
 // take sets tokens of the customer's limit aside, which the first send draws.
 func (c *call) take(now time.Time) *runworks.Failure {
 	tokens := c.in.Tokens(c.customer.TokensPerCall)
-	v := c.f.Quota.Take(now, c.customer, tokens)
+	v := c.f.Quota.Reserve(now, c.customer, tokens)
 	switch {
-	case v.Untold:
+	case v.NotReady:
 		return runworks.NotRun(errorx.Decorate(runworks.ErrNotReady, "what the customer drew before the start is not known yet"), v.Wait+rand.N(retryNotReadySpread))
 	case v.Wait > 0:
 		return runworks.NotRun(errorx.Decorate(runworks.ErrLimit, "%.0f tokens asked, %.0f used, %.0f held and %.0f assumed of %.0f, %d other entries counted",
-			tokens, v.Used, v.Held, v.Assumed, v.Allowed, v.Heard), v.Wait+rand.N(retryOpenSpread))
+			tokens, v.Consumed, v.Reserved, v.Assumed, v.Allowed, v.OtherEntries), v.Wait+rand.N(retryOpenSpread))
 	}
 	c.verdict = v
 	return nil
@@ -204,7 +204,7 @@
 // giveBack returns what a call that did not run took of its customer's limit.
 func (c *call) giveBack(failure *runworks.Failure) {
 	if failure.Outcome == runworks.OutcomeNotRun {
-		c.verdict.Draw.Return()
+		c.verdict.Debit.Refund()
 	}
 }
 
--- a/services/forward/forward_test.go
+++ b/services/forward/forward_test.go
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	d := &dispatch.Dispatcher{}
-	d.Replace(threeServers("s"))
+	d.SetServers(threeServers("s"))
 	go d.Run(t.Context())
 	f := &Forwarder{
 		Dispatcher: d, Quota: &quota.Quota{}, Budgets: &Budgets{Slack: 100}, Quarantine: &quarantine.Quarantine{}, Sender: s, Metrics: set, Tracer: tracing.None(),
@@ -231,7 +231,7 @@
 		is := is.New(t)
 		s := &sender{replies: []reply{{hang: true}}}
 		f := newForwarder(t, s, io.Discard)
-		f.Dispatcher.Replace(threeServers("s")[:1])
+		f.Dispatcher.SetServers(threeServers("s")[:1])
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		for range 4 { // all slots there are
@@ -293,7 +293,7 @@
 		is := is.New(t)
 		s := &sender{replies: []reply{{hang: true}}}
 		f := newForwarder(t, s, io.Discard)
-		f.Dispatcher.Replace([]runworks.Instance{{ID: "s0", Service: "app", Slots: 4}, {ID: "s1", Service: "app", Slots: 1}})
+		f.Dispatcher.SetServers([]runworks.Instance{{ID: "s0", Service: "app", Slots: 4}, {ID: "s1", Service: "app", Slots: 1}})
 		for range 2 {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			_, _, err := serve(ctx, f, "stream")
@@ -331,7 +331,7 @@
 		is := is.New(t)
 		s := &sender{replies: []reply{{body: "id: 1\ndata: a\n\n"}, {hang: true}}}
 		f := newForwarder(t, s, io.Discard)
-		f.Dispatcher.Replace([]runworks.Instance{{ID: "only", Service: "app", Slots: 2}})
+		f.Dispatcher.SetServers([]runworks.Instance{{ID: "only", Service: "app", Slots: 2}})
 		in := &runworks.Inbound{ID: "stream", Host: "h", Path: "/stream/x", Target: "/stream/x", Received: time.Now()}
 		begun, err := f.Serve(context.Background(), in)
 		is.NoErr(err)
@@ -350,7 +350,7 @@
 			})
 			synctest.Wait()
 		}
-		f.GiveUp()
+		f.AbortPending()
 		work.Wait()
 		is.True(errors.Is(failures["waits"], runworks.ErrStopping))
 		is.Equal(failures["waits"].Outcome, runworks.OutcomeNotRun)
@@ -385,7 +385,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &sender{replies: []reply{good}}, io.Discard)
-		f.Dispatcher.Replace(nil)
+		f.Dispatcher.SetServers(nil)
 		_, _, err := serve(context.Background(), f, "once")
 		is.True(errors.Is(err, runworks.ErrNoServer))
 		f.Table.Store(nil)
@@ -410,14 +410,14 @@
 		in := runworks.Inbound{ID: "1", Host: "h", Path: "/once/x", Target: "/once/x", APIKey: "k", Received: time.Now()}
 		_, err := f.Serve(context.Background(), &in)
 		is.True(errors.Is(err, runworks.ErrRejected))
-		is.Equal(f.Quota.Used(time.Now())["yard"], 0.0)
+		is.Equal(f.Quota.Consumed(time.Now())["yard"], 0.0)
 		s.replies = []reply{good}
 		again := in
 		again.Received = time.Now()
 		res, err := f.Serve(context.Background(), &again)
 		is.NoErr(err)
 		is.NoErr(res.Body.Close())
-		is.Equal(f.Quota.Used(time.Now())["yard"], 100.0)
+		is.Equal(f.Quota.Consumed(time.Now())["yard"], 100.0)
 		_, err = f.Serve(context.Background(), &again)
 		is.True(errors.Is(err, runworks.ErrLimit))
 	})
@@ -435,7 +435,7 @@
 		in := runworks.Inbound{ID: "1", Host: "h", Path: "/once/x", Target: "/once/x", APIKey: "k", Received: time.Now()}
 		_, err := f.Serve(context.Background(), &in)
 		is.NoErr(err)
-		opens := f.Quota.Take(time.Now(), &routing.Customers[0], 100).Wait
+		opens := f.Quota.Reserve(time.Now(), &routing.Customers[0], 100).Wait
 		is.True(opens > 0)
 		const calls = 100
 		parts := [5]int{}
@@ -478,7 +478,7 @@
 		is := is.New(t)
 		f := newForwarder(t, &sender{replies: []reply{good, good}}, io.Discard)
 		opened := make(chan struct{})
-		f.Opened = opened
+		f.Ready = opened
 		table := f.Table.Swap(nil)
 		began := time.Now()
 		_, _, err := serve(context.Background(), f, "once")
@@ -493,7 +493,7 @@
 		is.NoErr(err)
 		is.Equal(time.Since(began), 20*time.Millisecond)
 		ctx, leave := context.WithCancel(context.Background())
-		f.Opened = make(chan struct{})
+		f.Ready = make(chan struct{})
 		began = time.Now()
 		time.AfterFunc(10*time.Millisecond, leave)
 		_, _, err = serve(ctx, f, "once")
@@ -517,9 +517,9 @@
 			failure := failureOf(is, err)
 			is.Equal(failure.Outcome == runworks.OutcomeNotRun, sends == 0)
 			is.Equal(len(s.sends), sends)
-			for _, one := range f.Dispatcher.Loads() {
-				is.Equal(one.Own, 0)
-				is.True(one.Suspended.IsZero())
+			for _, one := range f.Dispatcher.ServerStatuses() {
+				is.Equal(one.OwnCalls, 0)
+				is.True(one.EjectedUntil.IsZero())
 			}
 		})
 	}
@@ -536,9 +536,9 @@
 			lives := func(born int64) []runworks.Instance {
 				return []runworks.Instance{{ID: "i", Generation: born, Service: "app", Slots: 4}}
 			}
-			f.Dispatcher.Replace(lives(100))
+			f.Dispatcher.SetServers(lives(100))
 			began := time.Now()
-			time.AfterFunc(300*time.Millisecond, func() { f.Dispatcher.Replace(lives(200)) })
+			time.AfterFunc(300*time.Millisecond, func() { f.Dispatcher.SetServers(lives(200)) })
 			_, text, err := serve(t.Context(), f, name)
 			is.True(time.Since(began) < 500*time.Millisecond)
 			if name != "once" {
--- a/services/forward/limit_test.go
+++ b/services/forward/limit_test.go
@@ -43,7 +43,7 @@
 				_, _, err := serve(context.Background(), f, "once")
 				is.NoErr(err)
 				limited := 0
-				for _, one := range f.Dispatcher.Loads() {
+				for _, one := range f.Dispatcher.ServerStatuses() {
 					if one.Limit == limit {
 						is.Equal(one.ID, s.sends[0].To.ID)
 						limited++
--- a/services/forward/log.go
+++ b/services/forward/log.go
@@ -31,8 +31,8 @@
 	if c.verdict.Allowed > 0 {
 		// What a call that passed was let through on: sums of these lines over all
 		// entries show whether a limit held, and who knew of what.
-		fields = append(fields, "limit_drawn", c.verdict.Draw.Tokens(), "limit_used", c.verdict.Used, "limit_held", c.verdict.Held, "limit_assumed", c.verdict.Assumed,
-			"limit_allowed", c.verdict.Allowed, "limit_entries", c.verdict.Heard)
+		fields = append(fields, "limit_drawn", c.verdict.Debit.Tokens(), "limit_used", c.verdict.Consumed, "limit_held", c.verdict.Reserved, "limit_assumed", c.verdict.Assumed,
+			"limit_allowed", c.verdict.Allowed, "limit_entries", c.verdict.OtherEntries)
 	}
 	if len(c.tried) > 0 {
 		fields = append(fields, "servers", c.tried, "ran", c.ran)
--- a/services/forward/opening.go
+++ b/services/forward/ready.go
@@ -12,18 +12,18 @@
 
 // awaitOpened holds a call for a moment that comes before the entry knows its state.
 func (f *Forwarder) awaitOpened(ctx context.Context) {
-	if f.Opened == nil {
+	if f.Ready == nil {
 		return
 	}
 	select {
-	case <-f.Opened:
+	case <-f.Ready:
 		return
 	default:
 	}
 	limit := time.NewTimer(startHold)
 	defer limit.Stop()
 	select {
-	case <-f.Opened:
+	case <-f.Ready:
 	case <-limit.C:
 	case <-ctx.Done():
 	}
--- a/services/forward/comeback.go
+++ b/services/forward/retry_after.go
@@ -39,7 +39,7 @@
 // restOr is when a caller is to come back if all servers rest, and else what is given: before
 // the first of them takes calls it would find none, and all at once would find it full.
 func (c *call) restOr(otherwise time.Duration) time.Duration {
-	if rests := c.f.Dispatcher.RestsFor(c.service); rests > 0 {
+	if rests := c.f.Dispatcher.BackoffRemaining(c.service); rests > 0 {
 		return rests + rand.N(retryOpenSpread)
 	}
 	return otherwise
--- a/services/forward/blame.go
+++ b/services/forward/server_exit.go
@@ -20,12 +20,12 @@
 	if c.f.Quarantine.Empty() {
 		return 0
 	}
-	return c.f.Quarantine.Held(now, c.fingerprint())
+	return c.f.Quarantine.HeldFor(now, c.fingerprint())
 }
 
 // noteAnswered records that the call had a whole answer.
 func (c *call) noteAnswered() {
-	c.f.Quarantine.Answered(time.Now(), c.fingerprint())
+	c.f.Quarantine.RecordAnswer(time.Now(), c.fingerprint())
 }
 
 // noteEnd looks whether the server that a call's answer was broken off by has ended, and
@@ -42,7 +42,7 @@
 		return
 	}
 	if fresh {
-		c.f.Quarantine.Broken(time.Now(), end.fingerprint, server.IncarnationID())
+		c.f.Quarantine.RecordDisconnect(time.Now(), end.fingerprint, server.IncarnationID())
 	}
 	c.f.Sender.WatchExit(ctx, server, end.note)
 }
@@ -63,7 +63,7 @@
 	c.f.Logger.Warn("backend server ended under a call", "server", e.server.IncarnationID(), "service", c.service, "request", c.in.ID,
 		"fingerprint", e.fingerprint, "customer", c.customerName(), "events", e.events, "fresh", e.fresh)
 	if e.fresh {
-		c.f.Quarantine.Blame(time.Now(), e.fingerprint, e.server.IncarnationID())
+		c.f.Quarantine.AttributeExit(time.Now(), e.fingerprint, e.server.IncarnationID())
 	}
 }
 
--- a/services/forward/blame_test.go
+++ b/services/forward/server_exit_test.go
@@ -56,13 +56,13 @@
 func holding(t *testing.T, s *sender) *Forwarder {
 	t.Helper()
 	f := newForwarder(t, s, io.Discard)
-	f.Quarantine = &quarantine.Quarantine{After: 3, For: time.Hour}
+	f.Quarantine = &quarantine.Quarantine{ExitThreshold: 3, Duration: time.Hour}
 	return f
 }
 
 // startAnew puts new servers in the place of those that there are.
 func startAnew(f *Forwarder, n int) {
-	f.Dispatcher.Replace(threeServers(fmt.Sprintf("n%d-", n)))
+	f.Dispatcher.SetServers(threeServers(fmt.Sprintf("n%d-", n)))
 }
 
 // TestRequestIsHeld sends a request that ends servers to three of them, and refuses it from
@@ -85,7 +85,7 @@
 			}
 			is.Equal(len(s.sends), 3)
 			time.Sleep(time.Minute)
-			f.Dispatcher.Replace(nil) // it is refused before it asks for a server
+			f.Dispatcher.SetServers(nil) // it is refused before it asks for a server
 			_, _, err := serve(context.Background(), f, one.route)
 			failure := failureOf(is, err)
 			is.True(errors.Is(err, runworks.ErrQuarantined))
@@ -111,7 +111,7 @@
 		in := &runworks.Inbound{ID: "1", Method: http.MethodPost, Host: "h", Path: "/once/x", Target: "/once/x", Received: time.Now()}
 		in.CallerDisconnected = func() bool {
 			for _, server := range []string{"a", "b", "c"} {
-				f.Quarantine.Blame(time.Now(), in.Fingerprint(""), server)
+				f.Quarantine.AttributeExit(time.Now(), in.Fingerprint(""), server)
 			}
 			return false
 		}
@@ -121,9 +121,9 @@
 		is.Equal(failure.Outcome, runworks.OutcomeNotRun)
 		is.Equal(failure.RetryAfter, time.Hour)
 		is.Equal(len(s.sends), 0)
-		for _, one := range f.Dispatcher.Loads() {
-			is.Equal(one.Own, 0)
-			is.True(one.Suspended.IsZero())
+		for _, one := range f.Dispatcher.ServerStatuses() {
+			is.Equal(one.OwnCalls, 0)
+			is.True(one.EjectedUntil.IsZero())
 		}
 	})
 }
@@ -183,10 +183,10 @@
 			_, _, err := serve(context.Background(), f, "once")
 			is.True(err != nil)
 			is.Equal(len(f.Quarantine.Reports(time.Now())) > 0, n > 0)
-			change := f.Dispatcher.Replace(nil)
-			is.Equal(len(change.Gone), 3)
-			for _, one := range change.Gone {
-				f.Quarantine.Gone(time.Now(), one.IncarnationID())
+			change := f.Dispatcher.SetServers(nil)
+			is.Equal(len(change.Exited), 3)
+			for _, one := range change.Exited {
+				f.Quarantine.ServerRemoved(time.Now(), one.IncarnationID())
 			}
 		}
 		startAnew(f, 3)
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -134,7 +134,7 @@
 func (s *stream) resume(broke error) error {
 	c := s.call
 	_ = s.body.Close()
-	s.lease.Release(c.endOf(s.ctx, s.lastHeard(), dispatch.Broken))
+	s.lease.Release(c.endOf(s.ctx, s.lastHeard(), dispatch.Interrupted))
 	c.noteEnd(s.ctx, s.lease.Instance, s.firstAt)
 	for {
 		if !c.route.Resumable || !c.mayTryAgain(s.ctx, broke) {
@@ -179,7 +179,7 @@
 		if err == nil {
 			err = context.Cause(s.ctx)
 		}
-		s.lease.Release(s.call.endOf(s.ctx, s.lastHeard(), dispatch.Broken))
+		s.lease.Release(s.call.endOf(s.ctx, s.lastHeard(), dispatch.Interrupted))
 		s.call.finish(runworks.OutcomeUnknown, 0, err)
 	}
 	return nil
--- a/services/forward/suspend.go
+++ b/services/forward/suspend.go
@@ -6,9 +6,9 @@
 	"github.com/runworks/runworks"
 )
 
-// Lost notes that the host was suspended for so long: callers waited meanwhile, and the time
+// AddSuspension notes that the host was suspended for so long: callers waited meanwhile, and the time
 // that they have left is shorter than the steady clock says.
-func (f *Forwarder) Lost(d time.Duration) { f.suspended.Add(int64(d)) }
+func (f *Forwarder) AddSuspension(d time.Duration) { f.suspended.Add(int64(d)) }
 
 // left is how long the call's caller waits for it from now on.
 func (c *call) left() time.Duration {
--- a/services/forward/suspend_test.go
+++ b/services/forward/suspend_test.go
@@ -25,13 +25,13 @@
 			is := is.New(t)
 			s := &sender{replies: []reply{good}}
 			f := newForwarder(t, s, io.Discard)
-			f.Lost(time.Hour) // before the call came
+			f.AddSuspension(time.Hour) // before the call came
 			in := &runworks.Inbound{ID: "1", Method: http.MethodPost, Host: "h", Path: "/once/x", Target: "/once/x", Received: time.Now()}
 			// The call is held while the host is suspended.
 			opened := make(chan struct{})
-			f.Opened = opened
+			f.Ready = opened
 			time.AfterFunc(0, func() {
-				f.Lost(one.lost)
+				f.AddSuspension(one.lost)
 				close(opened)
 			})
 			_, err := f.Serve(context.Background(), in)
--- a/services/peers/eras_test.go
+++ b/services/peers/eras_test.go
@@ -24,14 +24,14 @@
 				"from":      Member{Name: name, Address: name + ":1", Incarnation: runworks.Incarnation(name)},
 				"positions": map[Subject]int64{SubjectServers: 9},
 			}
-			is.NoErr(conn.Notify(context.Background(), MethodGreet, beat))
+			is.NoErr(conn.Notify(context.Background(), MethodHandshake, beat))
 			time.Sleep(10 * time.Millisecond)
 			a.mu.Lock()
 			heard := a.heard[runworks.Incarnation(name)]
 			a.mu.Unlock()
 			is.Equal(len(heard.Positions), 0)
 			is.True(heard.noEras())
-			if a.Reads(false) {
+			if a.ReadsStore(false) {
 				readers++
 			}
 		}
@@ -39,7 +39,7 @@
 		_ = conn.Close()
 	})
 	is := is.New(t)
-	b := &Beat{Positions: map[Subject]runworks.Position{SubjectServers: {Era: 3, Offset: 7}}}
+	b := &Heartbeat{Positions: map[Subject]runworks.Position{SubjectServers: {Era: 3, Offset: 7}}}
 	b.tellOffsets()
 	data, err := json.Marshal(b)
 	is.NoErr(err)
--- a/services/peers/far_test.go
+++ b/services/peers/far_test.go
@@ -48,7 +48,7 @@
 				Dial: network.Dialer(name), Keys: rpc.FleetKeys{"key"},
 			}
 			if name == "a" {
-				x.News = func() runworks.LimitUse {
+				x.LimitUpdates = func() runworks.LimitUse {
 					mu.Lock()
 					defer mu.Unlock()
 					out := news
@@ -68,10 +68,10 @@
 			news = runworks.LimitUse{Version: int64(n), Customers: map[string]runworks.CustomerUse{"c": {Consumed: float64(n)}, fmt.Sprint("c", n%3): {Consumed: float64(n)}}}
 			mu.Unlock()
 			a.tell(n)
-			time.Sleep(DefaultEvery + 5*time.Millisecond)
+			time.Sleep(DefaultInterval + 5*time.Millisecond)
 			is.Equal(list["near"].runsAt("a"), n)
 			is.True(list["far"].runsAt("a") >= n-7) // 61 entries there, 5 ms each
-			time.Sleep(DefaultEvery / 3)
+			time.Sleep(DefaultInterval / 3)
 		}
 		farBeats, _ := list["far"].told()
 		nearBeats, _ := list["near"].told()
--- a/services/peers/frame.go
+++ b/services/peers/frame.go
@@ -112,7 +112,7 @@
 }()
 
 // encode gives the frame of a heartbeat on the wire.
-func (e *encoder) encode(b *Beat) ([]byte, error) { return e.frame(b).encode() }
+func (e *encoder) encode(b *Heartbeat) ([]byte, error) { return e.frame(b).encode() }
 
 // encode gives the frame on the wire.
 func (f *frame) encode() ([]byte, error) {
@@ -124,7 +124,7 @@
 }
 
 // frame gives the frame of a heartbeat; if it tells names, all have to get it.
-func (e *encoder) frame(b *Beat) *frame {
+func (e *encoder) frame(b *Heartbeat) *frame {
 	if e.numbers == nil || len(e.names) > maxNames {
 		e.numbers, e.names, e.told = make(map[string]int), nil, 0
 	}
@@ -205,7 +205,7 @@
 
 // decode gives the heartbeat of a frame; an error means that the connection has to begin
 // anew.
-func (c *decoder) decode(data []byte) (*Beat, error) {
+func (c *decoder) decode(data []byte) (*Heartbeat, error) {
 	if c.from.Incarnation == "" {
 		return nil, errorx.IllegalState.New("a heartbeat came before the greeting")
 	}
@@ -223,9 +223,9 @@
 }
 
 // beat gives the numbers of a frame their names back.
-func (c *decoder) beat(f *frame) (*Beat, error) {
+func (c *decoder) beat(f *frame) (*Heartbeat, error) {
 	r := &namer{names: c.names}
-	b := &Beat{From: c.from, RoutingVersion: f.RoutingVersion, StoreLost: f.StoreLost, Changes: r.changes(f.Changes), Positions: make(map[Subject]runworks.Position, len(f.Positions))}
+	b := &Heartbeat{From: c.from, RoutingVersion: f.RoutingVersion, StoreLost: f.StoreLost, Changes: r.changes(f.Changes), Positions: make(map[Subject]runworks.Position, len(f.Positions))}
 	for _, p := range f.Positions {
 		b.Positions[Subject(r.name(p.Subject))] = runworks.Position{Era: p.Era, Offset: p.Offset}
 	}
--- a/services/peers/frame_test.go
+++ b/services/peers/frame_test.go
@@ -18,7 +18,7 @@
 )
 
 // wholeBeat is a heartbeat with something in each field that a frame carries.
-func wholeBeat() *Beat {
+func wholeBeat() *Heartbeat {
 	b := busyBeat()
 	b.RoutingVersion = 17
 	b.Load.ConsecutiveFailures = map[string]int{"i-failed": 3}
@@ -94,7 +94,7 @@
 		late.SetMembers([]Member{a.Self})
 		time.Sleep(time.Second)
 		a.tell(5)
-		time.Sleep(2 * DefaultEvery)
+		time.Sleep(2 * DefaultInterval)
 		is.Equal(late.runsAt("a"), 5)
 		late.mu.Lock()
 		is.Equal(late.greetings, 1) // by its heartbeat, not as the connection began anew
@@ -107,7 +107,7 @@
 // TestOlderVersionHears tells an entry that reads no frames by JSON-RPC, and hears one.
 func TestOlderVersionHears(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, _ *entry) {
-		heard := make(chan Beat, 1000)
+		heard := make(chan Heartbeat, 1000)
 		l, err := network.Listen("old:1")
 		is.NoErr(err)
 		older := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { //nolint:gosec // a test's server
@@ -117,9 +117,9 @@
 				return
 			}
 			<-rpc.Serve(context.Background(), stream, func(_ context.Context, method string, params json.RawMessage) (any, error) {
-				var b Beat
+				var b Heartbeat
 				err := json.Unmarshal(params, &b)
-				if method == MethodBeat {
+				if method == MethodHeartbeat {
 					heard <- b
 				}
 				return nil, err
@@ -129,8 +129,8 @@
 		a.SetMembers([]Member{{Name: "old", Address: "old:1"}})
 		time.Sleep(time.Second)
 		a.tell(6)
-		time.Sleep(2 * DefaultEvery)
-		var last Beat
+		time.Sleep(2 * DefaultInterval)
+		var last Heartbeat
 		for len(heard) > 0 {
 			last = <-heard
 		}
@@ -138,11 +138,11 @@
 		is.Equal(last.From.Name, "a")
 
 		conn := rpc.Serve(context.Background(), dialled(is, network), refuse)
-		beat := Beat{From: Member{Name: "old", Address: "old:1", Incarnation: "old-life"}, Load: runworks.EntryLoad{Running: runworks.RunningCalls{"s": 8}}}
-		is.NoErr(conn.Notify(context.Background(), MethodGreet, beat))
-		is.NoErr(conn.Notify(context.Background(), MethodBeat, beat))
+		beat := Heartbeat{From: Member{Name: "old", Address: "old:1", Incarnation: "old-life"}, Load: runworks.EntryLoad{Running: runworks.RunningCalls{"s": 8}}}
+		is.NoErr(conn.Notify(context.Background(), MethodHandshake, beat))
+		is.NoErr(conn.Notify(context.Background(), MethodHeartbeat, beat))
 		synctest.Wait()
-		time.Sleep(DefaultEvery)
+		time.Sleep(DefaultInterval)
 		is.Equal(a.runsAt("old"), 8)
 		_ = conn.Close()
 		_ = older.Close()
@@ -171,7 +171,7 @@
 		time.Sleep(20 * time.Second)
 		for _, e := range list {
 			is.Equal(len(e.gone), 0)
-			is.Equal(e.Live(), 1)
+			is.Equal(e.LiveCount(), 1)
 			e.cancel()
 			_ = e.server.Close()
 		}
--- a/services/peers/hear.go
+++ b/services/peers/hear.go
@@ -39,18 +39,18 @@
 // handle takes a message of another entry.
 func (x *hearing) handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	switch method {
-	case MethodBeat:
+	case MethodHeartbeat:
 		return nil, x.takeBeat(params, false)
-	case MethodGreet:
+	case MethodHandshake:
 		return nil, x.takeBeat(params, true)
 	case MethodSuspects:
 		return nil, x.takeSuspects(params)
-	case MethodServerWords:
+	case MethodServerNotices:
 		return nil, x.takeServerWords(params)
-	case MethodLend:
+	case MethodTransferPermits:
 		return x.lend(params)
 	case MethodState:
-		var c StateCall
+		var c StateRequest
 		if err := json.Unmarshal(params, &c); err != nil {
 			return nil, errorx.Decorate(err, "decode the call")
 		}
@@ -72,7 +72,7 @@
 
 // takeBeat takes a heartbeat, or a greeting.
 func (x *hearing) takeBeat(params json.RawMessage, greeting bool) error {
-	var b Beat
+	var b Heartbeat
 	if err := json.Unmarshal(params, &b); err != nil {
 		x.Logger.Warn("heartbeat of an entry can't be read", "error", err.Error())
 		return errorx.Decorate(err, "decode the heartbeat")
@@ -80,16 +80,16 @@
 	now := time.Now()
 	if greeting {
 		x.decoder = decoder{from: b.From, names: b.Names}
-		x.OnGreeting(now, &b)
+		x.OnHandshake(now, &b)
 		x.hearSuspects(b.From.Name, b.Suspects)
-		x.hearServerWords(b.From.Name, b.ServerWords)
+		x.hearServerWords(b.From.Name, b.ServerNotices)
 	}
 	x.hear(now, &b)
 	return nil
 }
 
 // hear takes what another entry told.
-func (x *Exchange) hear(now time.Time, b *Beat) {
+func (x *Exchange) hear(now time.Time, b *Heartbeat) {
 	x.mu.Lock()
 	known := x.heard[b.From.Incarnation]
 	if x.heard == nil {
@@ -116,7 +116,7 @@
 		x.Logger.Info("entry started anew", "name", b.From.Name, "incarnation", b.From.Incarnation, "old_incarnation", old)
 		x.OnReplaced(old)
 	}
-	x.OnBeat(now, b)
+	x.OnHeartbeat(now, b)
 }
 
 // silentLocked is when an entry that sent no heartbeat counts as gone: some that are due
@@ -125,9 +125,9 @@
 	return max(silentAfter, missedBeats*x.farEveryLocked())
 }
 
-// Lost makes what was heard as much older as this host was suspended: the others may have
+// HostSuspended makes what was heard as much older as this host was suspended: the others may have
 // ended meanwhile, or count this entry as gone.
-func (x *Exchange) Lost(d time.Duration) {
+func (x *Exchange) HostSuspended(d time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, one := range x.heard {
@@ -149,6 +149,6 @@
 	}
 	x.mu.Unlock()
 	for _, id := range gone {
-		x.OnGone(id)
+		x.OnUnreachable(id)
 	}
 }
--- a/services/peers/link.go
+++ b/services/peers/link.go
@@ -96,17 +96,17 @@
 	defer cancel()
 	x.telling.Lock()
 	defer x.telling.Unlock()
-	b := x.Beat()
-	b.From, b.Limits = x.Self, x.Limits()
+	b := x.Heartbeat()
+	b.From, b.Limits = x.Self, x.LimitSnapshot()
 	b.tellOffsets()
 	b.Names = x.encoder.names[:x.encoder.told]
 	if x.Suspects != nil {
 		b.Suspects = x.Suspects()
 	}
-	if x.ServerWords != nil {
-		b.ServerWords = x.ServerWords()
+	if x.ServerNotices != nil {
+		b.ServerNotices = x.ServerNotices()
 	}
-	if err := conn.Notify(ctx, MethodGreet, b); err != nil {
+	if err := conn.Notify(ctx, MethodHandshake, b); err != nil {
 		x.Logger.Warn("an entry could not be greeted", "name", l.member.Name, "error", err.Error())
 		_ = conn.Close() // dialled again
 	}
@@ -132,8 +132,8 @@
 	return l != nil && l.conn != nil
 }
 
-// AskState asks the named entry for what it knows of a subject.
-func (x *Exchange) AskState(ctx context.Context, name string, subject Subject, out any) error {
+// RequestState asks the named entry for what it knows of a subject.
+func (x *Exchange) RequestState(ctx context.Context, name string, subject Subject, out any) error {
 	x.mu.Lock()
 	var conn *rpc.Conn
 	if l := x.links[name]; l != nil {
@@ -145,7 +145,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	if err := conn.Call(ctx, MethodState, StateCall{Subject: subject}, out); err != nil {
+	if err := conn.Call(ctx, MethodState, StateRequest{Subject: subject}, out); err != nil {
 		return errorx.Decorate(err, "ask %s for %s", name, subject)
 	}
 	return nil
--- a/services/peers/pace.go
+++ b/services/peers/pace.go
@@ -15,9 +15,9 @@
 }
 
 func (x *Exchange) everyLocked(near int) time.Duration {
-	every := x.Every
+	every := x.Interval
 	if every == 0 {
-		every = DefaultEvery
+		every = DefaultInterval
 	}
 	return max(every, time.Duration(near)*everyPerPeer)
 }
--- a/services/peers/peers.go
+++ b/services/peers/peers.go
@@ -16,19 +16,19 @@
 
 // The methods between entries.
 const (
-	// MethodBeat is the notification that carries a Beat.
-	MethodBeat = "entry.beat"
-	// MethodGreet is the first notification on a connection: a Beat that tells all of
+	// MethodHeartbeat is the notification that carries a Beat.
+	MethodHeartbeat = "entry.beat"
+	// MethodHandshake is the first notification on a connection: a Beat that tells all of
 	// the limits, where others tell what is new.
-	MethodGreet = "entry.greet"
+	MethodHandshake = "entry.greet"
 	// MethodSuspects is the notification of requests under which backend servers ended.
 	// Versions that do not know it pass it over.
 	MethodSuspects = "entry.suspects"
-	// MethodServerWords is the notification of what backend servers say of themselves.
+	// MethodServerNotices is the notification of what backend servers say of themselves.
 	// Versions that do not know it pass it over.
-	MethodServerWords = "entry.server_words"
-	// MethodLend is the call for what an entry has at hand of a backend server's limit.
-	MethodLend = "entry.lend"
+	MethodServerNotices = "entry.server_words"
+	// MethodTransferPermits is the call for what an entry has at hand of a backend server's limit.
+	MethodTransferPermits = "entry.lend"
 	// MethodState is the call for what an entry knows of a Subject.
 	MethodState = "entry.state"
 )
@@ -43,15 +43,15 @@
 	SubjectLimits  Subject = "limits"
 )
 
-// StateCall asks for what an entry knows.
-type StateCall struct {
+// StateRequest asks for what an entry knows.
+type StateRequest struct {
 	Subject Subject `json:"subject"`
 }
 
 const (
-	// DefaultEvery is the time between heartbeats: about the time in which a few
+	// DefaultInterval is the time between heartbeats: about the time in which a few
 	// slots of a service become free.
-	DefaultEvery = 50 * time.Millisecond
+	DefaultInterval = 50 * time.Millisecond
 	// everyPerPeer stretches the time between heartbeats with the number of
 	// entries, so that their cost to an entry stays bounded: it hears five hundred a
 	// second of near ones at most.
@@ -69,11 +69,11 @@
 	// missedBeats is how many heartbeats must have been missed at least: with 360 entries
 	// those of other halls come every 1.4 s, and each would count as gone again and again.
 	missedBeats = 3
-	// SettleWait bounds how long an entry that starts waits to hear one of those that are
+	// SettleTimeout bounds how long an entry that starts waits to hear one of those that are
 	// listed: some times what a connection takes to open. What they drew of the customers'
 	// limits since the last record it learns from them alone: one that serves before lets a
 	// customer through that has just drawn all of its limit elsewhere.
-	SettleWait = 150 * time.Millisecond
+	SettleTimeout = 150 * time.Millisecond
 	// firstRedial and lastRedial are the waits between attempts to reach an entry.
 	firstRedial = 100 * time.Millisecond
 	lastRedial  = 2 * time.Second
@@ -90,8 +90,8 @@
 	Incarnation runworks.Incarnation `json:"incarnation"`
 }
 
-// Beat is what an entry tells the others.
-type Beat struct {
+// Heartbeat is what an entry tells the others.
+type Heartbeat struct {
 	From Member `json:"from"`
 	// Load is what the entry runs and what waits there.
 	Load runworks.EntryLoad `json:"load"`
@@ -112,8 +112,8 @@
 	Changes []Change `json:"-"`
 	// Suspects are all requests under which backend servers ended; only greetings tell them.
 	Suspects []runworks.Suspect `json:"suspects,omitempty"`
-	// ServerWords is all that backend servers say of themselves; only greetings tell it.
-	ServerWords []runworks.ServerNotice `json:"server_words,omitempty"`
+	// ServerNotices is all that backend servers say of themselves; only greetings tell it.
+	ServerNotices []runworks.ServerNotice `json:"server_words,omitempty"`
 	// Names are those of the frames that follow a greeting, by their numbers.
 	Names []string `json:"names,omitempty"`
 }
@@ -124,28 +124,28 @@
 	Dial   rpc.DialFunc
 	Keys   rpc.FleetKeys
 	Logger hclog.Logger
-	// Every is DefaultEvery if zero.
-	Every time.Duration
-	// Beat gives what this entry tells; From and Limits are filled in.
-	Beat func() Beat
-	// News gives the limits' part of a heartbeat, and Limits that of a greeting.
-	News, Limits func() runworks.LimitUse
-	// OnBeat is told what another entry said, and OnGone which one fell silent.
-	OnBeat func(now time.Time, b *Beat)
-	OnGone func(from runworks.Incarnation)
-	// OnGreeting is told, ahead of OnBeat, what another entry says first.
-	OnGreeting func(now time.Time, b *Beat)
+	// Interval is DefaultEvery if zero.
+	Interval time.Duration
+	// Heartbeat gives what this entry tells; From and Limits are filled in.
+	Heartbeat func() Heartbeat
+	// LimitUpdates gives the limits' part of a heartbeat, and LimitSnapshot that of a greeting.
+	LimitUpdates, LimitSnapshot func() runworks.LimitUse
+	// OnHeartbeat is told what another entry said, and OnGone which one fell silent.
+	OnHeartbeat   func(now time.Time, b *Heartbeat)
+	OnUnreachable func(from runworks.Incarnation)
+	// OnHandshake is told, ahead of OnBeat, what another entry says first.
+	OnHandshake func(now time.Time, b *Heartbeat)
 	// Suspects gives the requests that a greeting tells of, and OnSuspects is told what
 	// another entry told of some; nil gives none and tells nobody.
 	Suspects   func() []runworks.Suspect
 	OnSuspects func(from string, list []runworks.Suspect)
-	// ServerWords gives what backend servers say of themselves, for a greeting, and
+	// ServerNotices gives what backend servers say of themselves, for a greeting, and
 	// OnServerWords is told what another entry told of some; nil gives none and tells nobody.
-	ServerWords   func() []runworks.ServerNotice
-	OnServerWords func(from string, list []runworks.ServerNotice)
-	// Lend gives away requests that this entry has at hand of a backend server's limit, as far
+	ServerNotices   func() []runworks.ServerNotice
+	OnServerNotices func(from string, list []runworks.ServerNotice)
+	// TransferPermits gives away requests that this entry has at hand of a backend server's limit, as far
 	// as it has no use for them; nil gives none.
-	Lend func(server string, requests int) int
+	TransferPermits func(server string, requests int) int
 	// OnSettled is told that this entry has waited long enough to hear another; nil tells
 	// nobody.
 	OnSettled func()
@@ -201,7 +201,7 @@
 	x.began = time.Now()
 	x.mu.Unlock()
 	if x.OnSettled != nil {
-		settled := time.AfterFunc(SettleWait, x.OnSettled)
+		settled := time.AfterFunc(SettleTimeout, x.OnSettled)
 		defer settled.Stop()
 	}
 	var last []byte
@@ -238,11 +238,11 @@
 		return false
 	}
 	alone := x.listed && len(x.links) == 0
-	return alone || len(x.heard) > 0 || now.Sub(x.began) >= SettleWait
+	return alone || len(x.heard) > 0 || now.Sub(x.began) >= SettleTimeout
 }
 
-// Live gives how many other entries sent a heartbeat of late.
-func (x *Exchange) Live() int {
+// LiveCount gives how many other entries sent a heartbeat of late.
+func (x *Exchange) LiveCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.heard)
--- a/services/peers/peers_test.go
+++ b/services/peers/peers_test.go
@@ -25,7 +25,7 @@
 	cancel  context.CancelFunc
 
 	mu    sync.Mutex
-	heard map[runworks.Incarnation]Beat
+	heard map[runworks.Incarnation]Heartbeat
 	gone  []runworks.Incarnation
 	// greeted is when each life of another entry told what it counts.
 	greeted map[runworks.Incarnation]time.Time
@@ -71,7 +71,7 @@
 func startEvery(t testing.TB, network *memnet.Network, every time.Duration, name, host, key, life string) *entry {
 	t.Helper()
 	return startWith(t, network, &Exchange{
-		Every: every, Self: Member{Name: name, Address: host + ":1", Incarnation: runworks.Incarnation(life)},
+		Interval: every, Self: Member{Name: name, Address: host + ":1", Incarnation: runworks.Incarnation(life)},
 		Dial: network.Dialer(host), Keys: rpc.FleetKeys{key},
 	})
 }
@@ -79,7 +79,7 @@
 // startWith starts an entry; what it tells and hears is filled in.
 func startWith(t testing.TB, network *memnet.Network, x *Exchange) *entry {
 	t.Helper()
-	e := &entry{Exchange: x, network: network, heard: map[runworks.Incarnation]Beat{}, greeted: map[runworks.Incarnation]time.Time{}, limits: map[string]float64{}}
+	e := &entry{Exchange: x, network: network, heard: map[runworks.Incarnation]Heartbeat{}, greeted: map[runworks.Incarnation]time.Time{}, limits: map[string]float64{}}
 	e.fill()
 	l, err := network.Listen(x.Self.Address)
 	if err != nil {
@@ -96,12 +96,12 @@
 // fill notes what the entry hears, and lets it tell.
 func (e *entry) fill() {
 	e.Logger = hclog.NewNullLogger()
-	e.Beat = func() Beat {
+	e.Heartbeat = func() Heartbeat {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return Beat{StoreLost: e.storeLost, Load: runworks.EntryLoad{Running: runworks.RunningCalls{"s": e.tells}}}
+		return Heartbeat{StoreLost: e.storeLost, Load: runworks.EntryLoad{Running: runworks.RunningCalls{"s": e.tells}}}
 	}
-	e.OnBeat = func(_ time.Time, b *Beat) {
+	e.OnHeartbeat = func(_ time.Time, b *Heartbeat) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.heard[b.From.Incarnation] = *b
@@ -111,11 +111,11 @@
 			e.limits[customer] = u.Consumed
 		}
 	}
-	if e.News == nil {
-		e.News = func() runworks.LimitUse { return runworks.LimitUse{Version: 1} }
+	if e.LimitUpdates == nil {
+		e.LimitUpdates = func() runworks.LimitUse { return runworks.LimitUse{Version: 1} }
 	}
-	e.Limits = func() runworks.LimitUse { return runworks.LimitUse{Version: 7} }
-	e.OnGreeting = func(now time.Time, b *Beat) {
+	e.LimitSnapshot = func() runworks.LimitUse { return runworks.LimitUse{Version: 7} }
+	e.OnHandshake = func(now time.Time, b *Heartbeat) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.greetings++
@@ -135,7 +135,7 @@
 			e.suspects = append(e.suspects, s.Fingerprint)
 		}
 	}
-	e.OnGone = func(from runworks.Incarnation) {
+	e.OnUnreachable = func(from runworks.Incarnation) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.gone = append(e.gone, from)
@@ -145,12 +145,12 @@
 		defer e.mu.Unlock()
 		e.replaced = append(e.replaced, old)
 	}
-	e.ServerWords = func() []runworks.ServerNotice {
+	e.ServerNotices = func() []runworks.ServerNotice {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return e.knowsWords
 	}
-	e.OnServerWords = func(_ string, list []runworks.ServerNotice) {
+	e.OnServerNotices = func(_ string, list []runworks.ServerNotice) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.serverWords = append(e.serverWords, list)
@@ -202,9 +202,9 @@
 		is.Equal(a.runsAt("b"), 0)
 		is.Equal(b.runsAt("a"), 0)
 		a.tell(3)
-		time.Sleep(2 * DefaultEvery)
+		time.Sleep(2 * DefaultInterval)
 		is.Equal(b.runsAt("a"), 3)
-		is.Equal(a.Live(), 1)
+		is.Equal(a.LiveCount(), 1)
 	})
 }
 
@@ -226,7 +226,7 @@
 				began := time.Now()
 				again := startLifeAt(t, network, "b", c.host, "key-of-the-fleet", "b-second-life")
 				again.SetMembers([]Member{a.Self})
-				time.Sleep(DefaultEvery)
+				time.Sleep(DefaultInterval)
 				again.mu.Lock()
 				greeted := again.greeted["a-life"]
 				again.mu.Unlock()
@@ -245,14 +245,14 @@
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, b *entry) {
 		network.Cut("a", "b")
 		time.Sleep(silentAfter + time.Second)
-		is.Equal(a.Live(), 0)
+		is.Equal(a.LiveCount(), 0)
 		is.Equal(len(a.gone), 1)
 		network.Reset("a", "b")
 		network.Mend("a", "b")
 		b.tell(7)
 		time.Sleep(2 * lastRedial)
 		is.Equal(a.runsAt("b"), 7)
-		is.Equal(a.Live(), 1)
+		is.Equal(a.LiveCount(), 1)
 	})
 }
 
@@ -260,9 +260,9 @@
 func TestAskState(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, _ *entry) {
 		var out string
-		is.NoErr(a.AskState(context.Background(), "b", SubjectRouting, &out))
+		is.NoErr(a.RequestState(context.Background(), "b", SubjectRouting, &out))
 		is.Equal(out, "b knows")
-		is.True(a.AskState(context.Background(), "nobody", SubjectRouting, &out) != nil)
+		is.True(a.RequestState(context.Background(), "nobody", SubjectRouting, &out) != nil)
 	})
 }
 
@@ -278,7 +278,7 @@
 func TestBadHeartbeat(t *testing.T) {
 	is := is.New(t)
 	x := &hearing{Exchange: &Exchange{Logger: hclog.NewNullLogger()}}
-	_, err := x.handle(context.Background(), MethodBeat, json.RawMessage(`{`))
+	_, err := x.handle(context.Background(), MethodHeartbeat, json.RawMessage(`{`))
 	is.True(err != nil)
 	_, err = x.handle(context.Background(), "entry.unknown", nil)
 	is.True(err != nil)
@@ -316,7 +316,7 @@
 	}{
 		{"another answers", []Member{{Name: "c", Address: "c:1"}, {Name: "a", Address: "a:1"}}, true, 4 * time.Millisecond},
 		{"none is listed", []Member{{Name: "c", Address: "c:1"}}, true, 0},
-		{"none answers", []Member{{Name: "d", Address: "d:1"}}, false, SettleWait},
+		{"none answers", []Member{{Name: "d", Address: "d:1"}}, false, SettleTimeout},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, _, _ *entry) {
@@ -341,12 +341,12 @@
 // silence, and hears them again with their next heartbeats.
 func TestSuspendedEntry(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, _ *entry) {
-		a.Lost(silentAfter / 2)
-		time.Sleep(DefaultEvery + 10*time.Millisecond) // between two heartbeats
-		is.Equal(a.Live(), 1)
-		a.Lost(silentAfter + time.Second)
+		a.HostSuspended(silentAfter / 2)
+		time.Sleep(DefaultInterval + 10*time.Millisecond) // between two heartbeats
+		is.Equal(a.LiveCount(), 1)
+		a.HostSuspended(silentAfter + time.Second)
 		time.Sleep(2 * quietEvery)
-		is.Equal(a.Live(), 1)
+		is.Equal(a.LiveCount(), 1)
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		is.Equal(a.gone, []runworks.Incarnation{"b-life"})
--- a/services/peers/readers.go
+++ b/services/peers/readers.go
@@ -8,9 +8,9 @@
 	"github.com/runworks/runworks"
 )
 
-// Readers is how many entries of all read the store for changes: one, and one for the time
+// StoreReaders is how many entries of all read the store for changes: one, and one for the time
 // in which nobody knows yet that the first is gone.
-const Readers = 2
+const StoreReaders = 2
 
 // Change is what an entry read of a subject on the store, for those that do not read it.
 type Change struct {
@@ -20,8 +20,8 @@
 	Records    []runworks.Record
 }
 
-// Tell has a change told to all others at once.
-func (x *Exchange) Tell(c Change) {
+// SendChange has a change told to all others at once.
+func (x *Exchange) SendChange(c Change) {
 	x.mu.Lock()
 	x.changes = append(x.changes, c)
 	x.mu.Unlock()
@@ -37,11 +37,11 @@
 	return out
 }
 
-// Reads says whether this entry is one of those that read the store for all: the first by
+// ReadsStore says whether this entry is one of those that read the store for all: the first by
 // a hash of their names, among those that were heard just now and are in touch with the
 // store. Where entries hear different ones, more of them read. If all lost the store, some
 // still try.
-func (x *Exchange) Reads(lost bool) bool {
+func (x *Exchange) ReadsStore(lost bool) bool {
 	now := time.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -62,7 +62,7 @@
 	if lost && reading > 0 {
 		return false
 	}
-	return ahead < Readers
+	return ahead < StoreReaders
 }
 
 // freshLocked is within which time an entry that reads the store must have been heard. A
@@ -72,7 +72,7 @@
 }
 
 // tellOffsets fills in what versions that know of no eras read of the positions.
-func (b *Beat) tellOffsets() {
+func (b *Heartbeat) tellOffsets() {
 	b.Offsets = make(map[Subject]int64, len(b.Positions))
 	for subject, p := range b.Positions {
 		b.Offsets[subject] = p.Offset
@@ -80,4 +80,4 @@
 }
 
 // noEras says whether the entry tells offsets alone.
-func (b *Beat) noEras() bool { return len(b.Positions) == 0 && len(b.Offsets) > 0 }
+func (b *Heartbeat) noEras() bool { return len(b.Positions) == 0 && len(b.Offsets) > 0 }
--- a/services/peers/readers_test.go
+++ b/services/peers/readers_test.go
@@ -17,7 +17,7 @@
 func readersOf(list []*entry) []string {
 	var out []string
 	for _, e := range list {
-		if e.Reads(e.lost()) {
+		if e.ReadsStore(e.lost()) {
 			out = append(out, e.Self.Name)
 		}
 	}
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		first := readersOf(list)
-		is.Equal(len(first), Readers)
+		is.Equal(len(first), StoreReaders)
 		var rest []*entry
 		for _, e := range list {
 			if e.Self.Name == first[0] {
@@ -67,19 +67,19 @@
 			rest = append(rest, e)
 		}
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(len(readersOf(rest)), Readers)
-		is.Equal(len(readersOf(list)), Readers+1) // the one that is cut off reads for itself
+		is.Equal(len(readersOf(rest)), StoreReaders)
+		is.Equal(len(readersOf(list)), StoreReaders+1) // the one that is cut off reads for itself
 		for _, e := range rest {
 			e.setLost(e.Self.Name == first[1])
 		}
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(len(readersOf(rest)), Readers)
+		is.Equal(len(readersOf(rest)), StoreReaders)
 		is.True(readersOf(rest)[0] != first[1] && readersOf(rest)[1] != first[1])
 		for _, e := range rest {
 			e.setLost(true)
 		}
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(len(readersOf(rest)), Readers)
+		is.Equal(len(readersOf(rest)), StoreReaders)
 		for _, e := range list {
 			e.cancel()
 			_ = e.server.Close()
@@ -99,9 +99,9 @@
 // TestChangesAreTold passes what one entry read to all others at once, and once.
 func TestChangesAreTold(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, b *entry) {
-		time.Sleep(DefaultEvery / 2) // in the middle between two heartbeats
+		time.Sleep(DefaultInterval / 2) // in the middle between two heartbeats
 		c := Change{Subject: SubjectServers, From: runworks.Position{Era: 2, Offset: 4}, Next: runworks.Position{Era: 2, Offset: 6}, Records: []runworks.Record{{Key: "i-1", Value: []byte("x")}}}
-		a.Tell(c)
+		a.SendChange(c)
 		time.Sleep(5 * time.Millisecond)
 		is.Equal(b.toldChanges(), []Change{c})
 		time.Sleep(time.Second)
--- a/services/peers/scale_test.go
+++ b/services/peers/scale_test.go
@@ -25,7 +25,7 @@
 	beat := busyBeat()
 	from := &Exchange{
 		Self: beat.From, Dial: network.Dialer("a"), Keys: rpc.FleetKeys{"key"}, Logger: hclog.NewNullLogger(),
-		Beat: func() Beat { return Beat{} }, Limits: func() runworks.LimitUse { return runworks.LimitUse{} },
+		Heartbeat: func() Heartbeat { return Heartbeat{} }, LimitSnapshot: func() runworks.LimitUse { return runworks.LimitUse{} },
 	}
 	from.SetMembers([]Member{to.Self})
 	for !from.Connected("b") {
@@ -52,8 +52,8 @@
 }
 
 // busyBeat is what an entry of a large fleet tells under load.
-func busyBeat() *Beat {
-	b := &Beat{
+func busyBeat() *Heartbeat {
+	b := &Heartbeat{
 		From:      Member{Name: "a", Address: "a:1", Incarnation: runworks.NewIncarnation()},
 		Positions: map[Subject]runworks.Position{SubjectRouting: {Era: 1, Offset: 12}, SubjectServers: {Era: 1, Offset: 1234}},
 	}
--- a/services/peers/server_words.go
+++ b/services/peers/server_words.go
@@ -17,8 +17,8 @@
 // some twenty times a second at most in place of once for each.
 const wordsPause = 50 * time.Millisecond
 
-// ServerWords tells what backend servers say of themselves.
-type ServerWords struct {
+// ServerNotices tells what backend servers say of themselves.
+type ServerNotices struct {
 	// From names the entry that tells.
 	From string                  `json:"from"`
 	List []runworks.ServerNotice `json:"list"`
@@ -30,9 +30,9 @@
 	at     time.Time
 }
 
-// TellServerWord tells all entries that are connected at once, or a moment after the last
+// SendServerNotice tells all entries that are connected at once, or a moment after the last
 // telling: until they know a word they send as before.
-func (x *Exchange) TellServerWord(notice runworks.ServerNotice) {
+func (x *Exchange) SendServerNotice(notice runworks.ServerNotice) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.wordNews == nil {
@@ -49,7 +49,7 @@
 				if len(list) == 0 {
 					return
 				}
-				x.notifyAll(MethodServerWords, &ServerWords{From: x.Self.Name, List: list})
+				x.notifyAll(MethodServerNotices, &ServerNotices{From: x.Self.Name, List: list})
 				pause.For(ctx, wordsPause)
 			}
 		})
@@ -73,7 +73,7 @@
 
 // takeServerWords takes what another entry told.
 func (x *hearing) takeServerWords(params json.RawMessage) error {
-	var w ServerWords
+	var w ServerNotices
 	if err := json.Unmarshal(params, &w); err != nil {
 		x.Logger.Warn("what backend servers say of themselves can't be read", "error", err.Error())
 		return errorx.Decorate(err, "decode the servers' words")
@@ -83,7 +83,7 @@
 }
 
 func (x *Exchange) hearServerWords(from string, list []runworks.ServerNotice) {
-	if x.OnServerWords != nil && len(list) > 0 {
-		x.OnServerWords(from, list)
+	if x.OnServerNotices != nil && len(list) > 0 {
+		x.OnServerNotices(from, list)
 	}
 }
--- a/services/peers/server_words_test.go
+++ b/services/peers/server_words_test.go
@@ -28,13 +28,13 @@
 // that it leaves, and an entry that could not be reached once it is back.
 func TestServerWordsAreTold(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, b *entry) {
-		a.TellServerWord(serverLimit("s", 1))
+		a.SendServerNotice(serverLimit("s", 1))
 		time.Sleep(5 * time.Millisecond)
 		is.Equal(b.wordsOf(), [][]runworks.ServerNotice{{serverLimit("s", 1)}})
 		for i := range 300 {
-			a.TellServerWord(serverLimit(fmt.Sprintf("s%03d", i), 1))
-			a.TellServerWord(serverLimit(fmt.Sprintf("s%03d", i), 2))
-			a.TellServerWord(runworks.ServerNotice{Server: fmt.Sprintf("s%03d", i), Draining: i%2 == 1})
+			a.SendServerNotice(serverLimit(fmt.Sprintf("s%03d", i), 1))
+			a.SendServerNotice(serverLimit(fmt.Sprintf("s%03d", i), 2))
+			a.SendServerNotice(runworks.ServerNotice{Server: fmt.Sprintf("s%03d", i), Draining: i%2 == 1})
 		}
 		time.Sleep(2 * wordsPause)
 		told := b.wordsOf()
@@ -45,7 +45,7 @@
 		is.True(!told[1][8].Draining)
 		is.True(told[1][7].LimitAgeMs <= wordsPause.Milliseconds())
 		time.Sleep(time.Second)
-		a.TellServerWord(serverLimit("s", 3))
+		a.SendServerNotice(serverLimit("s", 3))
 		time.Sleep(5 * time.Millisecond)
 		is.Equal(b.wordsOf()[2:], [][]runworks.ServerNotice{{serverLimit("s", 3)}})
 		a.mu.Lock()
@@ -61,19 +61,19 @@
 func TestLend(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, b *entry) {
 		var server string
-		b.Lend = func(s string, requests int) int {
+		b.TransferPermits = func(s string, requests int) int {
 			server = s
 			return requests + 1
 		}
-		n, err := a.Borrow(context.Background(), b.Self.Incarnation, LendCall{Server: "s", Requests: 2})
+		n, err := a.RequestPermits(context.Background(), b.Self.Incarnation, PermitRequest{Server: "s", Permits: 2})
 		is.NoErr(err)
 		is.Equal(n, 2)
 		is.Equal(server, "s")
-		_, err = a.Borrow(context.Background(), "nobody", LendCall{Server: "s", Requests: 2})
+		_, err = a.RequestPermits(context.Background(), "nobody", PermitRequest{Server: "s", Permits: 2})
 		is.True(err != nil)
 		network.Cut("a", "b")
 		began := time.Now()
-		_, err = a.Borrow(context.Background(), b.Self.Incarnation, LendCall{Server: "s", Requests: 2})
+		_, err = a.RequestPermits(context.Background(), b.Self.Incarnation, PermitRequest{Server: "s", Permits: 2})
 		is.True(err != nil)
 		is.Equal(time.Since(began), lendTimeout)
 	})
--- a/services/peers/suspects.go
+++ b/services/peers/suspects.go
@@ -15,9 +15,9 @@
 	List []runworks.Suspect `json:"list"`
 }
 
-// TellSuspects tells all entries that are connected at once: each server that the request
+// SendSuspects tells all entries that are connected at once: each server that the request
 // meets before they know it ends as well.
-func (x *Exchange) TellSuspects(list ...runworks.Suspect) {
+func (x *Exchange) SendSuspects(list ...runworks.Suspect) {
 	x.notifyAll(MethodSuspects, &Suspects{From: x.Self.Name, List: list})
 }
 
--- a/services/peers/suspects_test.go
+++ b/services/peers/suspects_test.go
@@ -21,7 +21,7 @@
 // one that could not be reached once it is back.
 func TestSuspectsAreTold(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, b *entry) {
-		a.TellSuspects(runworks.Suspect{Fingerprint: "f"})
+		a.SendSuspects(runworks.Suspect{Fingerprint: "f"})
 		time.Sleep(5 * time.Millisecond)
 		is.Equal(b.toldOf(), []runworks.Fingerprint{"f"})
 		a.mu.Lock()
--- a/services/peers/tell.go
+++ b/services/peers/tell.go
@@ -17,8 +17,8 @@
 	x.telling.Lock()
 	defer x.telling.Unlock()
 	now := time.Now()
-	beat := x.Beat()
-	beat.From, beat.Limits, beat.Changes = x.Self, x.News(), x.takeChanges()
+	beat := x.Heartbeat()
+	beat.From, beat.Limits, beat.Changes = x.Self, x.LimitUpdates(), x.takeChanges()
 	near, far := x.conns()
 	f := x.encoder.frame(&beat)
 	all := len(far) == 0 || now.Sub(x.farTold) >= x.farEvery() || len(f.Changes)+len(f.Names) > 0
@@ -44,7 +44,7 @@
 
 // keepUntold keeps what a heartbeat tells near entries alone. Where it goes to all, it is
 // given what the far ones were not told; the result says whether there was anything.
-func (x *Exchange) keepUntold(beat *Beat, all bool) bool {
+func (x *Exchange) keepUntold(beat *Heartbeat, all bool) bool {
 	if all && len(x.untold) == 0 {
 		return false
 	}
@@ -76,7 +76,7 @@
 }
 
 // send gives a heartbeat to entries that are connected: a frame to those that read them.
-func (x *Exchange) send(ctx context.Context, conns []*rpc.Conn, data []byte, beat *Beat) {
+func (x *Exchange) send(ctx context.Context, conns []*rpc.Conn, data []byte, beat *Heartbeat) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	for _, conn := range conns {
@@ -85,7 +85,7 @@
 			err = conn.SendFrame(data)
 		} else {
 			beat.tellOffsets()
-			err = conn.Notify(ctx, MethodBeat, beat)
+			err = conn.Notify(ctx, MethodHeartbeat, beat)
 		}
 		if err != nil {
 			// The link's own loop dials again and logs the loss.
--- a/services/quarantine/quarantine.go
+++ b/services/quarantine/quarantine.go
@@ -25,18 +25,18 @@
 // Quarantine knows the requests under which backend servers ended; set the exported fields
 // before use. The zero value holds nothing.
 type Quarantine struct {
-	// After is under how many ends of backend servers a request is held; 0 holds none.
-	After int
-	// For is for how long it is held after the last of them. Then it may be tried once more,
+	// ExitThreshold is under how many ends of backend servers a request is held; 0 holds none.
+	ExitThreshold int
+	// Duration is for how long it is held after the last of them. Then it may be tried once more,
 	// and one end more holds it again.
-	For time.Duration
-	// OnNews is told what this entry saw itself, for the others, and whether it is worth a
+	Duration time.Duration
+	// OnUpdate is told what this entry saw itself, for the others, and whether it is worth a
 	// record; nil tells nobody. It must not wait.
-	OnNews func(s runworks.Suspect, record bool)
-	// OnHeld is told of a request that is held from now on and for how long, and OnLifted
+	OnUpdate func(s runworks.Suspect, record bool)
+	// OnQuarantine is told of a request that is held from now on and for how long, and OnLifted
 	// of one that no longer is a suspect; nil tells nobody. They must not wait.
-	OnHeld   func(s runworks.Suspect, wait time.Duration)
-	OnLifted func(runworks.Fingerprint)
+	OnQuarantine func(s runworks.Suspect, wait time.Duration)
+	OnRelease    func(runworks.Fingerprint)
 
 	// known is how many suspects there are, so that calls look without a lock while there
 	// are none.
@@ -58,8 +58,8 @@
 // Empty says that no request is a suspect.
 func (q *Quarantine) Empty() bool { return q.known.Load() == 0 }
 
-// Held gives for how much longer a request is held; 0 if it may be sent.
-func (q *Quarantine) Held(now time.Time, f runworks.Fingerprint) time.Duration {
+// HeldFor gives for how much longer a request is held; 0 if it may be sent.
+func (q *Quarantine) HeldFor(now time.Time, f runworks.Fingerprint) time.Duration {
 	if q.Empty() {
 		return 0
 	}
@@ -69,15 +69,15 @@
 }
 
 func (q *Quarantine) heldLocked(now time.Time, s *suspect) time.Duration {
-	if s == nil || q.After == 0 || len(s.ends) < q.After {
+	if s == nil || q.ExitThreshold == 0 || len(s.ends) < q.ExitThreshold {
 		return 0
 	}
-	return max(q.For-now.Sub(s.last), 0)
+	return max(q.Duration-now.Sub(s.last), 0)
 }
 
-// Blame records that a life of a backend server ended as it began to run a request. One
+// AttributeExit records that a life of a backend server ended as it began to run a request. One
 // that was answered a moment ago is not to blame.
-func (q *Quarantine) Blame(now time.Time, f runworks.Fingerprint, server string) {
+func (q *Quarantine) AttributeExit(now time.Time, f runworks.Fingerprint, server string) {
 	q.mu.Lock()
 	if q.answered.has(now, f) {
 		q.mu.Unlock()
@@ -89,46 +89,46 @@
 	record := len(q.suspects[f].ends) >= recordFrom
 	q.mu.Unlock()
 	tell()
-	if q.OnNews != nil {
-		q.OnNews(news, record)
+	if q.OnUpdate != nil {
+		q.OnUpdate(news, record)
 	}
 }
 
-// Broken records that a life of a backend server broke a request off as it began to run it:
+// RecordDisconnect records that a life of a backend server broke a request off as it began to run it:
 // Gone within a while proves that the life ended.
-func (q *Quarantine) Broken(now time.Time, f runworks.Fingerprint, server string) {
+func (q *Quarantine) RecordDisconnect(now time.Time, f runworks.Fingerprint, server string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.broken.add(now, f, server)
 }
 
-// Gone records that a life of a backend server is over, though it did not say before that it
+// ServerRemoved records that a life of a backend server is over, though it did not say before that it
 // would end; it gives the requests that it had broken off a while ago.
-func (q *Quarantine) Gone(now time.Time, server string) []runworks.Fingerprint {
+func (q *Quarantine) ServerRemoved(now time.Time, server string) []runworks.Fingerprint {
 	q.mu.Lock()
 	list := q.broken.take(now, server)
 	q.mu.Unlock()
 	for _, f := range list {
-		q.Blame(now, f, server)
+		q.AttributeExit(now, f, server)
 	}
 	return list
 }
 
-// Answered records that a backend server gave a request a whole answer: it ends none.
-func (q *Quarantine) Answered(now time.Time, f runworks.Fingerprint) {
+// RecordAnswer records that a backend server gave a request a whole answer: it ends none.
+func (q *Quarantine) RecordAnswer(now time.Time, f runworks.Fingerprint) {
 	q.mu.Lock()
 	q.answered.add(now, f)
 	s := q.suspects[f]
 	suspected := s != nil && len(s.ends) > 0
 	q.mu.Unlock()
 	if suspected {
-		q.Lift(now, f)
+		q.Release(now, f)
 	}
 }
 
-// Lift forgets all ends under a request so far, here and at the others; it says whether
+// Release forgets all ends under a request so far, here and at the others; it says whether
 // there were any.
-func (q *Quarantine) Lift(now time.Time, f runworks.Fingerprint) bool {
+func (q *Quarantine) Release(now time.Time, f runworks.Fingerprint) bool {
 	news := runworks.Suspect{Fingerprint: f, ClearedAt: now.Round(0)}
 	q.mu.Lock()
 	s := q.suspects[f]
@@ -140,14 +140,14 @@
 	tell := q.addLocked(now, &news)
 	q.mu.Unlock()
 	tell()
-	if q.OnNews != nil {
-		q.OnNews(news, record)
+	if q.OnUpdate != nil {
+		q.OnUpdate(news, record)
 	}
 	return true
 }
 
-// Take adds what another entry or the record told.
-func (q *Quarantine) Take(now time.Time, list []runworks.Suspect) {
+// Apply adds what another entry or the record told.
+func (q *Quarantine) Apply(now time.Time, list []runworks.Suspect) {
 	for i := range list {
 		q.mu.Lock()
 		tell := q.addLocked(now, &list[i])
@@ -182,8 +182,8 @@
 // Unrecorded gives the requests of which a record of all entries lacks what is worth one: ends
 // of servers, or that those it holds do not count any more.
 func (q *Quarantine) Unrecorded(now time.Time, record []runworks.Suspect) []runworks.Fingerprint {
-	recorded := Quarantine{For: q.For}
-	recorded.Take(now, record)
+	recorded := Quarantine{Duration: q.Duration}
+	recorded.Apply(now, record)
 	var out []runworks.Fingerprint
 	for _, s := range q.List(now) {
 		there := recorded.Get(s.Fingerprint)
@@ -208,14 +208,14 @@
 	out := []Report{}
 	for _, s := range q.List(now) {
 		if len(s.Exits) > 0 {
-			out = append(out, Report{Suspect: s, HeldMs: q.Held(now, s.Fingerprint).Milliseconds()})
+			out = append(out, Report{Suspect: s, HeldMs: q.HeldFor(now, s.Fingerprint).Milliseconds()})
 		}
 	}
 	return out
 }
 
-// Outdated says whether something told of a request no longer counts.
-func (q *Quarantine) Outdated(now time.Time, s *runworks.Suspect) bool {
+// Expired says whether something told of a request no longer counts.
+func (q *Quarantine) Expired(now time.Time, s *runworks.Suspect) bool {
 	last := s.ClearedAt
 	for _, e := range s.Exits {
 		last = later(last, e.At)
@@ -225,4 +225,4 @@
 
 // keep is for how long a suspect is known after its last end: as long again as it is held,
 // so that after it one end more is enough.
-func (q *Quarantine) keep() time.Duration { return 2 * q.For }
+func (q *Quarantine) keep() time.Duration { return 2 * q.Duration }
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -54,17 +54,17 @@
 func newScripted() *scripted {
 	s := &scripted{}
 	s.Quarantine = &Quarantine{
-		After: 3, For: time.Hour,
-		OnNews: func(n runworks.Suspect, record bool) {
+		ExitThreshold: 3, Duration: time.Hour,
+		OnUpdate: func(n runworks.Suspect, record bool) {
 			s.news = append(s.news, n)
 			if record {
 				fmt.Fprintf(s.out, "%s recorded\n", n.Fingerprint)
 			}
 		},
-		OnHeld: func(h runworks.Suspect, wait time.Duration) {
+		OnQuarantine: func(h runworks.Suspect, wait time.Duration) {
 			fmt.Fprintf(s.out, "%s held for %s\n", h.Fingerprint, wait)
 		},
-		OnLifted: func(f runworks.Fingerprint) { fmt.Fprintf(s.out, "%s lifted\n", f) },
+		OnRelease: func(f runworks.Fingerprint) { fmt.Fprintf(s.out, "%s lifted\n", f) },
 	}
 	return s
 }
@@ -74,25 +74,25 @@
 	verb, what := words[0], runworks.Fingerprint(words[1])
 	switch verb {
 	case "blame":
-		s.Blame(now, what, words[2])
+		s.AttributeExit(now, what, words[2])
 	case "broken":
-		s.Broken(now, what, words[2])
+		s.RecordDisconnect(now, what, words[2])
 	case "gone":
-		fmt.Fprintf(s.out, "gone %v\n", s.Gone(now, words[1]))
+		fmt.Fprintf(s.out, "gone %v\n", s.ServerRemoved(now, words[1]))
 	case "answered":
-		s.Answered(now, what)
+		s.RecordAnswer(now, what)
 	case "lift":
-		fmt.Fprintf(s.out, "known %t\n", s.Lift(now, what))
+		fmt.Fprintf(s.out, "known %t\n", s.Release(now, what))
 	case "ask":
-		fmt.Fprintf(s.out, "%s wait %s\n", what, s.Held(now, what))
+		fmt.Fprintf(s.out, "%s wait %s\n", what, s.HeldFor(now, what))
 	case "tell":
-		entries[words[1]].Take(now, s.news)
+		entries[words[1]].Apply(now, s.news)
 	case "tell-backwards":
 		for i := range s.news {
-			entries[words[1]].Take(now, s.news[len(s.news)-1-i:][:1])
+			entries[words[1]].Apply(now, s.news[len(s.news)-1-i:][:1])
 		}
 	case "greet":
-		entries[words[1]].Take(now, s.List(now))
+		entries[words[1]].Apply(now, s.List(now))
 	default:
 		t.Fatalf("no verb %s", verb)
 	}
@@ -102,21 +102,21 @@
 // and of the others the newest.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	q := &Quarantine{After: 3, For: time.Hour}
+	q := &Quarantine{ExitThreshold: 3, Duration: time.Hour}
 	for i := range 3 {
-		q.Blame(start, "held", fmt.Sprint("s", i))
+		q.AttributeExit(start, "held", fmt.Sprint("s", i))
 	}
 	for i := range 2 * maxSuspects {
-		q.Blame(start.Add(time.Duration(i)*time.Millisecond), runworks.Fingerprint(fmt.Sprint(i)), "s")
+		q.AttributeExit(start.Add(time.Duration(i)*time.Millisecond), runworks.Fingerprint(fmt.Sprint(i)), "s")
 	}
 	now := start.Add(time.Minute)
 	list := q.List(now)
 	is.Equal(len(list), maxSuspects)
-	is.True(q.Held(now, "held") > 0)
+	is.True(q.HeldFor(now, "held") > 0)
 	is.Equal(len(q.Get("0").Exits), 0)
 	is.Equal(len(q.Get(runworks.Fingerprint(fmt.Sprint(2*maxSuspects-1))).Exits), 1)
 	for i := range 2 * maxEnds {
-		q.Blame(start.Add(time.Duration(i)*time.Second), "held", fmt.Sprint("t", i))
+		q.AttributeExit(start.Add(time.Duration(i)*time.Second), "held", fmt.Sprint("t", i))
 	}
 	ends := q.Get("held").Exits
 	is.Equal(len(ends), maxEnds)
@@ -142,9 +142,9 @@
 	is := is.New(t)
 	var q Quarantine
 	for i := range 10 {
-		q.Blame(start, "f", fmt.Sprint(i))
+		q.AttributeExit(start, "f", fmt.Sprint(i))
 	}
-	is.Equal(q.Held(start, "f"), time.Duration(0))
+	is.Equal(q.HeldFor(start, "f"), time.Duration(0))
 }
 
 // TestBreaksAreBounded remembers the last breaks alone.
--- a/services/quarantine/suspect.go
+++ b/services/quarantine/suspect.go
@@ -11,7 +11,7 @@
 // change, and is to be called without the lock.
 func (q *Quarantine) addLocked(now time.Time, news *runworks.Suspect) (tell func()) {
 	tell = func() {}
-	if q.Outdated(now, news) {
+	if q.Expired(now, news) {
 		return tell
 	}
 	s := q.suspectLocked(now, news.Fingerprint)
@@ -21,11 +21,11 @@
 	switch {
 	case held > 0 && !heldBefore:
 		told := s.tell(news.Fingerprint)
-		if q.OnHeld != nil {
-			tell = func() { q.OnHeld(told, held) }
+		if q.OnQuarantine != nil {
+			tell = func() { q.OnQuarantine(told, held) }
 		}
-	case before > 0 && len(s.ends) == 0 && q.OnLifted != nil:
-		tell = func() { q.OnLifted(news.Fingerprint) }
+	case before > 0 && len(s.ends) == 0 && q.OnRelease != nil:
+		tell = func() { q.OnRelease(news.Fingerprint) }
 	}
 	return tell
 }
--- a/services/quota/draw.go
+++ b/services/quota/debit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Draw is a call's right to tokens of its customer's limit; a nil Draw needs none.
+// Debit is a call's right to tokens of its customer's limit; a nil Debit needs none.
 // One call uses it, one method at a time.
-type Draw struct {
+type Debit struct {
 	quota    *Quota
 	customer string
 	tokens   float64
@@ -14,16 +14,16 @@
 }
 
 // Tokens is what the call draws.
-func (d *Draw) Tokens() float64 {
+func (d *Debit) Tokens() float64 {
 	if d == nil {
 		return 0
 	}
 	return d.tokens
 }
 
-// Spend draws the tokens as the call is sent; a call that is sent again draws nothing
+// Commit draws the tokens as the call is sent; a call that is sent again draws nothing
 // more.
-func (d *Draw) Spend(now time.Time) {
+func (d *Debit) Commit(now time.Time) {
 	if d == nil || d.ended || !d.spent.IsZero() {
 		return
 	}
@@ -40,8 +40,8 @@
 	q.recorder.drew(d.customer, d.tokens)
 }
 
-// Return gives the tokens of a call back that did not run.
-func (d *Draw) Return() {
+// Refund gives the tokens of a call back that did not run.
+func (d *Debit) Refund() {
 	if d == nil || d.ended {
 		return
 	}
--- a/services/quota/set_off_test.go
+++ b/services/quota/dedup_test.go
@@ -20,44 +20,44 @@
 		steps func(q, a *Quota, record *runworks.LimitRecord, early, all runworks.LimitUse)
 	}{
 		{"record, then greeting", func(q, _ *Quota, record *runworks.LimitRecord, _, all runworks.LimitUse) {
-			q.TakeRecord(later, record)
-			q.Greet(later, "a", all)
+			q.ApplyRecord(later, record)
+			q.ApplyFullUse(later, "a", all)
 		}},
 		{"greeting, then record", func(q, _ *Quota, record *runworks.LimitRecord, _, all runworks.LimitUse) {
-			q.Greet(later, "a", all)
-			q.TakeRecord(later, record)
+			q.ApplyFullUse(later, "a", all)
+			q.ApplyRecord(later, record)
 		}},
 		{"early greeting, record, heartbeat", func(q, a *Quota, record *runworks.LimitRecord, early, _ runworks.LimitUse) {
-			q.Greet(later, "a", early)
-			q.TakeRecord(later, record)
-			q.Report(later, "a", a.News(later))
+			q.ApplyFullUse(later, "a", early)
+			q.ApplyRecord(later, record)
+			q.ApplyUpdates(later, "a", a.Updates(later))
 		}},
 		{"record, early greeting, heartbeat", func(q, a *Quota, record *runworks.LimitRecord, early, _ runworks.LimitUse) {
-			q.TakeRecord(later, record)
-			q.Greet(later, "a", early)
-			q.Report(later, "a", a.News(later))
+			q.ApplyRecord(later, record)
+			q.ApplyFullUse(later, "a", early)
+			q.ApplyUpdates(later, "a", a.Updates(later))
 		}},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			is := is.New(t)
 			a, b := starting(begin, "a"), starting(begin, "b")
-			a.TakeRecord(begin, nil)
-			b.TakeRecord(begin, nil)
+			a.ApplyRecord(begin, nil)
+			b.ApplyRecord(begin, nil)
 			send(a, begin, 100)
-			early := a.Own(begin)
-			b.Report(begin, "a", a.News(begin))
+			early := a.FullUse(begin)
+			b.ApplyUpdates(begin, "a", a.Updates(begin))
 			send(a, begin, 300)
 			send(b, begin, 50)
-			a.Report(begin, "b", b.News(begin))
-			record := a.Record(begin.Add(RecordEvery))
+			a.ApplyUpdates(begin, "b", b.Updates(begin))
+			record := a.Record(begin.Add(RecordInterval))
 			q := starting(later, "q")
-			one.steps(q, a, &record, early, a.Own(later))
-			is.Equal(q.Used(later)["yard"], 450.0)
+			one.steps(q, a, &record, early, a.FullUse(later))
+			is.Equal(q.Consumed(later)["yard"], 450.0)
 			// What it draws from then on counts as it is told.
 			now := later.Add(time.Second)
 			send(a, now, 200)
-			q.Report(now, "a", a.News(now))
-			is.Equal(q.Used(now)["yard"], 650.0)
+			q.ApplyUpdates(now, "a", a.Updates(now))
+			is.Equal(q.Consumed(now)["yard"], 650.0)
 		})
 	}
 }
@@ -76,12 +76,12 @@
 func TestRecordOfAnOldLife(t *testing.T) {
 	is := is.New(t)
 	a := starting(begin, "a")
-	a.TakeRecord(begin, nil)
-	a.Report(begin, "old", told(1, 9000, 200, 0))
-	a.Report(begin, "over", told(1, 500, 500, 0))
+	a.ApplyRecord(begin, nil)
+	a.ApplyUpdates(begin, "old", told(1, 9000, 200, 0))
+	a.ApplyUpdates(begin, "over", told(1, 500, 500, 0))
 	record := a.Record(begin)
 	q := starting(begin, "q")
-	q.TakeRecord(begin, &record)
-	q.Report(begin, "old", told(2, 9000, 200, 0))
-	is.Equal(q.Used(begin)["yard"], 700.0)
+	q.ApplyRecord(begin, &record)
+	q.ApplyUpdates(begin, "old", told(2, 9000, 200, 0))
+	is.Equal(q.Consumed(begin)["yard"], 700.0)
 }
