--- a/services/dispatch/average.go
+++ b/services/dispatch/average.go
@@ -1,10 +1,10 @@
 package dispatch
 
-// average is a mean that forgets: each value moves it by its weight. It is 0 as long
-// as there was none, and the first value is taken whole.
+// average is an exponentially weighted moving average. It is 0 until the first value is
+// added, which it takes over unchanged.
 type average float64
 
-// add takes a value, with a weight from 0 to 1.
+// add adds a value with a weight from 0 to 1.
 func (a *average) add(value, weight float64) {
 	if *a == 0 {
 		*a = average(value)
--- a/services/dispatch/choose.go
+++ b/services/dispatch/choose.go
@@ -8,38 +8,37 @@
 )
 
 const (
-	// remoteHallPenalty is what another hall adds to a server's score, as a part of its
-	// load: it decides between equals.
+	// remoteHallPenalty is added to the score of a server in another hall, in units of its
+	// load: it decides between servers that are otherwise equal.
 	remoteHallPenalty = 0.05
-	// remoteHallPenaltyMany is the same where there are many entries: what is known of the load there is
-	// some times as old.
+	// remoteHallPenaltyMany applies instead where there are many entries, as load reports from
+	// other halls are then several times as old.
 	remoteHallPenaltyMany = 0.5
-	// reservedSlots of each server are kept from the lowest rank of routes, where
-	// it has minSlotsToReserve.
+	// reservedSlots slots of each server with at least minSlotsToReserve are kept free of calls
+	// of the lowest route rank.
 	reservedSlots     = 1
 	minSlotsToReserve = 4
-	// slotsKeptFromLate slots of each server of minSlotsToReserve are kept from late calls:
-	// where all slots are taken, one that becomes free is wanted in the next moment by a
-	// call that can be in time.
+	// slotsKeptFromLate slots of each server with at least minSlotsToReserve are kept free of
+	// late calls: while all slots are taken, a slot that becomes free is soon needed by a call
+	// that can still be on time.
 	slotsKeptFromLate = 2
-	// maxPreference is how much of its score an entry's own maxPreference adds to a server at most: of
-	// servers as good, the entries prefer different ones, as they don't know what the
-	// others sent in this moment.
+	// maxPreference is the largest fraction of its score that an entry's preference adds to a
+	// server. Entries do not know what the others send at the same moment, so each prefers
+	// different ones of servers that are otherwise equal.
 	maxPreference = 0.5
-	// paceTolerance is how much slower than the fastest a server may be and still
-	// take what no server can finish in time.
+	// paceTolerance is how many times the fastest pace a server's pace may be for it to be
+	// used by answers that no server can finish in time.
 	paceTolerance = 1.3
-	// lengthMargin is for answers longer than expected: four of five are shorter.
+	// lengthMargin allows for answers longer than expected: four out of five are shorter.
 	lengthMargin = 1.5
-	// minServed is how many answers have to be there before their mean duration tells
-	// that calls are short.
+	// minServed is the number of calls after which their mean duration is used.
 	minServed = 5
-	// lengthWeight is the weight of the newest answer in the average length.
+	// lengthWeight is the weight of the newest answer in tokensPerEvent.
 	lengthWeight = 0.05
 )
 
-// available gives the servers with a free slot; suspended ones only if no server of
-// the service is healthy and takes calls: one that rests may do so for long.
+// available returns the servers with a free slot. It includes ejected servers only if no
+// server of the service is both healthy and not backing off, as a back-off may be long.
 func (s *service) available(now time.Time) []*server {
 	var open []*server
 	healthy := slices.ContainsFunc(s.servers, func(one *server) bool { return s.healthy(now, one) && !one.rest.asked(now) })
@@ -51,8 +50,8 @@
 	return open
 }
 
-// capacity is how many calls a server may have: one for each slot, and those that
-// find a slot soon where calls are short.
+// capacity returns how many calls a server may have: one for each slot and, where calls are
+// short, as many more as slots become free within freeSoonSeconds.
 func (s *service) capacity(one *server) int {
 	if s.served < minServed {
 		return one.Slots
@@ -60,19 +59,19 @@
 	return one.Slots + int(float64(one.Slots)*s.freeSoonSeconds()/float64(s.duration))
 }
 
-// freeSoonSeconds is within how many seconds a slot has to become free to count as free now.
+// freeSoonSeconds returns within how many seconds a slot must become free to count as free.
 func (s *service) freeSoonSeconds() float64 {
 	return max(freeSoon, time.Duration(s.peers)*freeSoonPerPeer).Seconds()
 }
 
-// outpacesUpdates says whether calls are over before the other entries hear of them.
+// outpacesUpdates reports whether calls end before the other entries learn of them.
 func (s *service) outpacesUpdates() bool {
 	return s.served >= minServed && float64(s.duration) < s.freeSoonSeconds()
 }
 
-// reserved is how many slots of each server are kept from calls of a tier: the lowest
-// rank leaves some for those that can't wait, and late calls for those that can still be
-// in time.
+// reserved returns how many slots of each server are kept free of calls of a tier: the lowest
+// rank leaves some to calls that cannot wait, and late calls to those that can still be on
+// time.
 func (s *service) reserved(one *server, tier int) int {
 	if one.Slots < minSlotsToReserve {
 		return 0
@@ -87,12 +86,12 @@
 	return n
 }
 
-// freeSlots is how many slots of a server are left for calls of a tier.
+// freeSlots returns how many slots of a server are free for calls of a tier.
 func (s *service) freeSlots(one *server, tier int) int {
 	return s.capacity(one) - one.load() - s.reserved(one, tier)
 }
 
-// recordRank records a route's rank.
+// recordRank updates the bounds of the route ranks.
 func (s *service) recordRank(routeRank int) {
 	if !s.anyRank {
 		s.highestRank, s.lowestRank, s.anyRank = routeRank, routeRank, true
@@ -101,12 +100,13 @@
 	s.lowestRank = max(s.lowestRank, routeRank)
 }
 
-// anyFree says whether one of the open servers has a slot for a tier.
+// anyFree reports whether one of the available servers has a free slot for a tier.
 func (s *service) anyFree(open []*server, tier int) bool {
 	return slices.ContainsFunc(open, func(one *server) bool { return s.freeSlots(one, tier) > 0 })
 }
 
-// choose gives the open server that suits a call best; nil if none may have it.
+// choose returns the available server with the best score for a call, or nil if there is no
+// candidate.
 func (d *Dispatcher) choose(now time.Time, s *service, open []*server, w *waiter) *server {
 	var best *server
 	var lowest float64
@@ -120,10 +120,10 @@
 	return best
 }
 
-// candidates gives the open servers that may have a call. A call that could have been in time
-// goes only where it still is, and waits else until it is late: the slot is of more use to
-// a call that comes in the next moment. A late call keeps off servers where it would break
-// the pauses of others, as long as there is one where it doesn't.
+// candidates returns the available servers that may get a call. A call that could have met its
+// target goes only to servers where it still can, and waits until it is late otherwise: the
+// slot is of more use to a call that arrives next. A late call avoids servers where it would
+// exceed the gaps that other streams allow, if there is another.
 func (s *service) candidates(now time.Time, f *forecast, open []*server, w *waiter, fastest float64) []*server {
 	req, tier := w.req, queueTier(w.req, w.late)
 	left := req.Deadline.Sub(now).Seconds()
@@ -145,14 +145,14 @@
 	return out
 }
 
-// expectedDuration is how many seconds a server needs for a stream's events, with a
-// margin, as the caller's guess is often short; 0 if that is not known.
+// expectedDuration returns how many seconds a server needs for the events of a call's stream,
+// with a margin as estimates are often too low; 0 if that is unknown.
 func (s *service) expectedDuration(one *server, req *Request) float64 {
 	return lengthMargin * s.expectedEvents(req) * float64(one.pace)
 }
 
-// score is lower for the better server: its share of taken slots, times its
-// pace against the others.
+// score returns a server's score, lower is better: the fraction of its slots in use, weighted
+// by its pace relative to the others.
 func (d *Dispatcher) score(s *server, typical float64) float64 {
 	score := float64(s.load()+1) / float64(max(s.Slots, 1))
 	if s.pace > 0 && typical > 0 {
@@ -169,7 +169,7 @@
 	return score
 }
 
-// paces gives the mean and the lowest of the paces that are known; 0 if none is.
+// paces returns the mean and the lowest of the known paces, or 0 if none is known.
 func (s *service) paces() (typical, fastest float64) {
 	sum, n := 0.0, 0
 	for _, one := range s.servers {
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -11,130 +11,134 @@
 )
 
 const (
-	// DefaultMaxWaiting bounds the calls that wait at an entry for one service.
+	// DefaultMaxWaiting is the default limit of calls that wait at an entry for one service.
 	DefaultMaxWaiting = 2000
-	// recheckInterval is how often waiting calls are looked at without an event:
-	// suspensions end by themselves.
+	// recheckInterval is the interval at which the queues are checked without an event, as
+	// ejections, back-offs and rate limits expire without one.
 	recheckInterval = 50 * time.Millisecond
-	// maxSkipped bounds the calls that are passed over in one look because no free
-	// server suits them.
+	// maxSkipped limits the calls that one pass over the queue skips because no free server
+	// suits them.
 	maxSkipped = 32
 )
 
-// Request is a call that wants a backend server.
+// Request describes a call that needs a backend server.
 type Request struct {
 	ID      runworks.RequestID
 	Service string
-	// Rank is the customer's, or else the route's; RouteRank decides between calls
-	// of the same rank.
+	// Rank is the customer's rank, or the route's if the customer has none; 0 is the highest.
+	// RouteRank orders calls of the same rank.
 	Rank      int
 	RouteRank int
 	Customer  string
 	// PromptTokens and MaxTokens are the sizes that the caller states.
 	PromptTokens int
 	MaxTokens    int
-	// ExpectedTokens is the caller's guess of the answer's length; 0 if none.
+	// ExpectedTokens is the caller's estimate of the answer's length; 0 if it gave none.
 	ExpectedTokens int
-	// Resumed says that the call goes on with an answer that broke off.
+	// Resumed reports whether the call continues an answer that broke off.
 	Resumed bool
-	// Retry says that it ran at a server, which failed it.
+	// Retry reports whether a server has run the call and failed it.
 	Retry bool
-	// MaxGap is the longest pause between events that keeps an answer in time; 0 if none.
+	// MaxGap is the longest gap between two events with which an answer is still on time; 0
+	// is no limit.
 	MaxGap time.Duration
-	// Target is when the answer, or the first event, is expected.
+	// Target is when the answer, or its first event, is due.
 	Target time.Time
-	// CallerTimeout is when a caller leaves who saw nothing of the answer; zero is the
-	// deadline.
+	// CallerTimeout is when a caller that has received no part of the answer is expected to
+	// disconnect; zero is Deadline.
 	CallerTimeout time.Time
-	// Deadline is when the call is given up.
+	// Deadline is when the call is abandoned.
 	Deadline time.Time
-	// Exclude are the lives of the servers that had the call already.
+	// Exclude lists the incarnations of the servers to which the call was already sent.
 	Exclude []string
 }
 
-// Dispatcher places the calls of one entry; set the exported fields before use.
+// Dispatcher assigns the calls of one entry to backend servers. The exported fields must be
+// set before use. Callbacks may be nil; they are called with a lock held and must not block.
 type Dispatcher struct {
-	// Hall is where the entry stands.
+	// Hall is the hall of this entry.
 	Hall string
-	// Self names the entry's life to the other entries.
+	// Self identifies the incarnation of this entry to the other entries.
 	Self runworks.Incarnation
-	// MaxWaiting is DefaultMaxWaiting if zero.
+	// MaxWaiting limits the calls that wait for one service; 0 is DefaultMaxWaiting.
 	MaxWaiting int
-	// OnEject is told of a server that is left out, after how many failures in a
-	// row and for how long; nil tells nobody. It must not wait.
+	// OnEject is called with a server that is ejected, after how many consecutive failures,
+	// and for how long.
 	OnEject func(server runworks.Instance, failures int, wait time.Duration)
-	// OnUnresponsive is told of a server that gives nothing to the calls it has, or that it
-	// was heard again; nil tells nobody. It must not wait.
-	OnUnresponsive func(server runworks.Instance, silent bool)
-	// OnPeerEject is told how many other entries leave a server out, when the first does
-	// and when none does any more; nil tells nobody. It must not wait.
+	// OnUnresponsive is called when a server stops sending anything to the calls that it has,
+	// and when it sends again.
+	OnUnresponsive func(server runworks.Instance, unresponsive bool)
+	// OnPeerEject is called with the number of other entries that eject a server when there
+	// are enough of them for it to be ejected here, and when there no longer are.
 	OnPeerEject func(server runworks.Instance, entries int)
-	// OnDraining is told of a server that says that it leaves, from names the entry that told of
-	// it and is empty for the server itself; OnRest of one that wants nothing from this entry
-	// for a time. Nil tells nobody. They must not wait.
+	// OnDraining is called with a server that reports that it is draining; from names the
+	// entry that passed the report on and is empty if the server sent it. OnBackoff is called
+	// with a server that asked this entry to send nothing for a time.
 	OnDraining func(server runworks.Instance, from string)
-	OnBackoff  func(server runworks.Instance, lasts time.Duration)
-	// OnRateLimit is told what changed of a server's limit; nil tells nobody. It must not wait.
+	OnBackoff  func(server runworks.Instance, duration time.Duration)
+	// OnRateLimit is called with a change of a server's rate limit.
 	OnRateLimit func(server runworks.Instance, change LimitChange)
-	// SendServerNotice is told what the other entries are to be told of a server's words; nil tells
-	// nobody. It must not wait.
+	// SendServerNotice is called with a server notice to be sent to the other entries.
 	SendServerNotice func(notice runworks.ServerNotice)
-	// RequestPermits is told what another entry is to be asked for, whose answer goes to Borrowed; nil
-	// asks nobody. It must not wait.
-	RequestPermits func(loan *PermitTransfer)
+	// RequestPermits is called with a request for permits to be sent to another entry, whose
+	// reply goes to Borrowed. Without it no permits are requested.
+	RequestPermits func(transfer *PermitTransfer)
 
 	mu sync.Mutex
-	// servers holds the servers by their lives, and newest by their ids.
+	// servers is keyed by incarnation; newest holds the latest incarnation by server ID.
 	servers  map[string]*server
 	newest   map[string]*server
 	services map[string]*service
 	peers    map[runworks.Incarnation]runworks.EntryLoad
-	// unreachable are since when other entries are silent that do not count as gone yet.
+	// unreachable holds since when entries that timed out, and do not count as gone yet, have
+	// been unreachable.
 	unreachable map[runworks.Incarnation]time.Time
-	// pendingNotices are words of servers that are not known yet.
+	// pendingNotices are notices of servers that are not known yet.
 	pendingNotices map[string]earlyWord
-	// expiredReports are words of servers whose records went of late.
+	// expiredReports are reports of servers whose records expired recently.
 	expiredReports map[string]lapsedWords
 }
 
-// service holds the backend servers of a service and the calls that wait.
+// service holds the backend servers of a service and the calls that wait for them.
 type service struct {
 	name    string
 	servers []*server
 	queue   reservation.Queue
 	waiters map[runworks.RequestID]*waiter
-	// peers is how many other peers are heard.
+	// peers is the number of other entries that are reachable.
 	peers int
-	// arrivals is how many calls arrivals.
+	// arrivals counts the calls that arrived.
 	arrivals int
-	// highestRank and lowestRank are the bounds of the routes' ranks that were seen: 0 is
-	// the highestRank rank there is.
+	// highestRank and lowestRank are the bounds of the route ranks seen so far; 0 is the
+	// highest possible rank.
 	highestRank, lowestRank int
 	anyRank                 bool
-	// rankStats tell of the routes' ranks.
+	// rankStats is keyed by route rank.
 	rankStats map[int]*rankStats
-	// startShares are the parts of the starts that the tiers get while their calls wait.
+	// startShares holds the fraction of all starts that each tier gets while it has calls
+	// waiting.
 	startShares map[int]float64
-	// duration is how long a call has its slot on average, in seconds; 0 is not known.
+	// duration is the mean time in seconds for which a call holds its slot; 0 is unknown.
 	duration average
-	// served is how many answers went into it.
+	// served counts the calls in duration.
 	served int
-	// responseTime is the mean time from a call's start to the head of its answer, in
-	// seconds; 0 is not known.
+	// responseTime is the mean time in seconds from a call's start to the head of its answer;
+	// 0 is unknown.
 	responseTime average
-	// prefill tell how long the fastest server takes to the first event.
+	// prefill estimates the time to the first event at the fastest server.
 	prefill prefillModel
-	// maxGap is the shortest of the longest pauses that callers allow; 0 is not known.
+	// maxGap is the lowest MaxGap of all calls so far; 0 is unknown.
 	maxGap time.Duration
-	// tokensPerEvent is how many of the tokens that callers expect an event stands for,
-	// on average; 0 is not known.
+	// tokensPerEvent is the mean number of expected tokens that one event accounts for; 0 is
+	// unknown.
 	tokensPerEvent average
 	permitRequests borrowing
 }
 
-// Acquire waits until a backend server is free for the call. The errors are
-// ErrNoServer if none is known, ErrShortage if too many wait, ErrTimeLimit at
-// the call's deadline, and the cause of ctx.
+// Acquire waits until a backend server is free for the call. It returns ErrNoServer if no
+// server is known, ErrShortage if the queue is full or the call is not likely to start in
+// time, ErrTimeLimit if it has not started by the last moment that CallerTimeout and Deadline
+// allow, and the cause of ctx.
 func (d *Dispatcher) Acquire(ctx context.Context, req *Request) (*Lease, error) {
 	w, lease, err := d.admit(req)
 	if lease != nil || err != nil {
@@ -160,7 +164,7 @@
 	}
 }
 
-// admit takes a free slot at once, or puts the call among those that wait.
+// admit assigns a free slot at once or puts the call in the queue.
 func (d *Dispatcher) admit(req *Request) (*waiter, *Lease, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,7 +192,7 @@
 	}
 }
 
-// Run looks at the waiting calls from time to time, until ctx ends.
+// Run checks the queues at an interval until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
 	ticker := time.NewTicker(recheckInterval)
 	defer ticker.Stop()
@@ -215,8 +219,8 @@
 	}
 }
 
-// pumpLocked gives free slots to the calls that wait, the first by tier first. A
-// call that no free server suits is passed over.
+// pumpLocked assigns free slots to waiting calls in the order of their tiers. Calls that no
+// free server suits are skipped.
 func (d *Dispatcher) pumpLocked(s *service) {
 	if s == nil {
 		return
@@ -253,9 +257,9 @@
 	d.borrowLocked(now, s)
 }
 
-// hasServerFor says whether a backend server is known that the call may go to. One that a server
-// failed does not wait for what the limit of another gives, or its rest leaves: it has an
-// answer, and the slot is of more use to a call that has none. A stream that goes on does wait.
+// hasServerFor reports whether there is a backend server to which the call may go. A retry
+// does not wait for a server that is throttled: it has a failure to return, and the slot is
+// of more use to a call that has no answer yet. A stream that is resumed does wait.
 func (s *service) hasServerFor(now time.Time, req *Request) bool {
 	for _, one := range s.servers {
 		if !one.Draining && !slices.Contains(req.Exclude, one.life) && (!req.Retry || req.Resumed || !one.withheld(now)) {
--- a/services/dispatch/doc.go
+++ b/services/dispatch/doc.go
@@ -1,4 +1,4 @@
-// Package dispatch decides at an entry which backend server takes a call and
-// which call takes a free slot: calls wait here, by tier, and not at the backend
-// servers, whose queues know no tiers.
+// Package dispatch assigns calls to backend servers at an entry. Calls that find no free
+// slot wait here in a queue ordered by tier, and not at the backend servers, whose own
+// queues know no tiers.
 package dispatch
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -16,19 +16,21 @@
 	service    string
 	routeRank  int
 	began      time.Time
-	// unreadTokens is how many tokens of the call's prompt the server has still to read.
+	// unreadTokens is the number of prompt tokens that the server has not read yet.
 	unreadTokens int
 	once         sync.Once
-	// onExit is called once the server has started again.
+	// onExit is called after the server's process has exited.
 	onExit func()
 }
 
-// lateAnswerGrace is how long a call waits for what a server's last life sent, once it is known
-// to be over: some times the way within a region, so that an answer that was ready comes.
+// lateAnswerGrace is how long a call waits for data that the server's process sent before it
+// exited: several times the latency within a region, so that an answer that was complete
+// arrives.
 const lateAnswerGrace = 100 * time.Millisecond
 
-// OnServerExit has f called a moment after it is known that the server started again: what it had
-// of the call is lost, and no answer comes any more. A silence tells it seconds later.
+// OnServerExit sets a function to be called lateAnswerGrace after it is known that the server
+// restarted: the call is lost and no answer will come. Waiting for a read timeout would take
+// seconds longer.
 func (l *Lease) OnServerExit(f func()) {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
@@ -44,7 +46,7 @@
 	}
 }
 
-// Release gives the slot back and says how the call ended.
+// Release frees the slot and records how the call ended. Further calls have no effect.
 func (l *Lease) Release(r Result) {
 	l.once.Do(func() {
 		d := l.dispatcher
@@ -85,8 +87,8 @@
 	l.server.breaks += stallWeight * (stalled - l.server.breaks)
 }
 
-// RecordLength records how many events a whole answer had of which the caller expected
-// so many tokens.
+// RecordLength records the number of events of a complete answer for which the caller
+// expected expectedTokens tokens.
 func (l *Lease) RecordLength(expectedTokens, events int) {
 	if expectedTokens == 0 || events == 0 {
 		return
@@ -99,8 +101,8 @@
 	}
 }
 
-// RecordFirstEvent records that the first event of the call's answer came, for a prompt of so
-// many tokens.
+// RecordFirstEvent records that the first event of the call's answer arrived, for a prompt of
+// promptTokens tokens.
 func (l *Lease) RecordFirstEvent(promptTokens int) {
 	d := l.dispatcher
 	d.mu.Lock()
@@ -113,7 +115,7 @@
 	}
 }
 
-// markReadLocked notes that the call's prompt was read, or will not be.
+// markReadLocked records that the call's prompt was read or no longer will be.
 func (l *Lease) markReadLocked() {
 	l.server.reading -= l.unreadTokens
 	l.unreadTokens = 0
--- a/services/dispatch/model.go
+++ b/services/dispatch/model.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// steadyWeight is the weight of the newest event in a server's steady pace: some
-	// fifty events tell, which its calls give in a second or two.
+	// steadyWeight is the weight of the newest event in a server's steady pace. It averages
+	// over some fifty events, which a server sends within a second or two.
 	steadyWeight = 0.02
-	// prefillDecay is the part of what was known of the reading of prompts that is kept at
-	// each new one: some fifty prompts tell.
+	// prefillDecay is the weight of the earlier samples of a prefillModel after each new one.
+	// The model covers some fifty prompts.
 	prefillDecay = 0.98
-	// stallWeight is the weight of the newest event in the part of a server's events that
-	// come after a longer pause than callers allow: some hundred tell.
+	// stallWeight is the weight of the newest event in the fraction of a server's events that
+	// follow a gap longer than callers allow. It averages over some hundred events.
 	stallWeight = 0.01
-	// maxStalls is how many such pauses a call may be expected to meet where it could
-	// have a server that is free of them in time: 0.797 of the calls of the highest rank are
-	// on time in place of 0.786 (15 paired plays of days under load).
+	// maxStalls is how many such gaps a call may be expected to meet at a server if it can wait
+	// for another. With this limit 0.797 of the calls of the highest rank are on time, without
+	// it 0.786 (15 paired simulations under load).
 	maxStalls = 0.1
-	// minUnreadReported is how many tokens of prompts a server has to read for the other
-	// entries to be told: fewer are read before they hear it.
+	// minUnreadReported is the number of unread prompt tokens from which a server's are reported
+	// to the other entries: fewer are read before the report arrives.
 	minUnreadReported = 4000
-	// minPrefillSamples is how many prompts have to be known before the time for one is reckoned.
+	// minPrefillSamples is the number of prompts from which the model is used.
 	minPrefillSamples = 10
 )
 
-// prefillModel tell how long servers take to the first event of an answer by the tokens of
-// the prompt: a line through what was seen, the newest counting most.
+// prefillModel estimates the time to the first event of an answer from the prompt's length, by
+// linear regression over exponentially weighted samples.
 type prefillModel struct {
 	n, x, y, xx, xy float64
 }
 
-// add takes the time to the first event for a prompt.
+// add adds a sample.
 func (r *prefillModel) add(tokens, seconds float64) {
 	r.n = r.n*prefillDecay + 1
 	r.x = r.x*prefillDecay + tokens
@@ -41,8 +41,8 @@
 	r.xy = r.xy*prefillDecay + tokens*seconds
 }
 
-// fit gives the seconds before the reading and for each token; ok is false as long as
-// too little was seen to tell.
+// fit returns the seconds that do not depend on the prompt's length, and the seconds for each
+// of its tokens; ok is false while there are too few samples.
 func (r *prefillModel) fit() (start, perToken float64, ok bool) {
 	spread := r.n*r.xx - r.x*r.x
 	if r.n < minPrefillSamples || spread <= 0 {
@@ -53,19 +53,19 @@
 	return start, perToken, true
 }
 
-// forecast is what the forecasts for a service rest on in one moment.
+// forecast holds the values from which the calls of a service are forecast at one moment.
 type forecast struct {
 	// overhead and perToken are the seconds to the first event at the fastest server, without
-	// the reading and for each token of the prompt; known is false as long as too little
-	// was seen.
+	// the prompt's reading and for each token of the prompt; known is false while there are
+	// too few samples.
 	overhead, perToken float64
 	known              bool
-	// fastestPace is the lowest steady pace of a server in seconds; 0 is not known.
+	// fastestPace is the lowest steady pace of a server in seconds; 0 is unknown.
 	fastestPace float64
-	// maxGap is the longest pause in seconds that callers allow; 0 is none.
+	// maxGap is the longest gap between events in seconds that callers allow; 0 is no limit.
 	maxGap float64
-	// tokensPerEvent is how many of the tokens that callers expect an event stands for; 0 is not
-	// known.
+	// tokensPerEvent is the mean number of expected tokens that one event accounts for; 0 is
+	// unknown.
 	tokensPerEvent float64
 }
 
@@ -80,8 +80,8 @@
 	return f
 }
 
-// slowdown is how many times as long as the fastest of its service a server takes
-// between events; 1 as long as that is not known.
+// slowdown returns how many times as long as at the service's fastest server the time between
+// events is; 1 while that is unknown.
 func (f *forecast) slowdown(one *server) float64 {
 	if f.fastestPace == 0 || one.steady == 0 {
 		return 1
@@ -89,9 +89,9 @@
 	return float64(one.steady) / f.fastestPace
 }
 
-// firstEventDelay is in how many seconds a call's first event is expected from a server: what
-// is unread there is read before. A server that takes longer between events takes as much
-// longer to read; 0 as long as too little is known.
+// firstEventDelay returns in how many seconds a call's first event is expected from a server,
+// which reads the unread prompts before it. A server is taken to read as much slower as its
+// time between events is longer. The result is 0 while too little is known.
 func (f *forecast) firstEventDelay(one *server, req *Request) float64 {
 	if !f.known || req.PromptTokens == 0 {
 		return 0
@@ -100,8 +100,8 @@
 	return f.slowdown(one) * (f.overhead + f.perToken*float64(tokens))
 }
 
-// prefillGap is for how many seconds the reading of a call's prompt leaves the streams of a
-// server without an event.
+// prefillGap returns for how many seconds the reading of a call's prompt leaves the streams
+// of a server without an event.
 func (f *forecast) prefillGap(one *server, req *Request) float64 {
 	if !f.known {
 		return 0
@@ -109,7 +109,7 @@
 	return float64(one.steady) + f.slowdown(one)*f.perToken*float64(req.PromptTokens)
 }
 
-// stalls is how many pauses beyond what callers allow a call is expected to meet.
+// stalls returns how many gaps longer than callers allow a call is expected to meet.
 func (f *forecast) stalls(one *server, req *Request) float64 {
 	if f.tokensPerEvent == 0 {
 		return 0
@@ -117,9 +117,9 @@
 	return one.breaks * float64(req.ExpectedTokens) / f.tokensPerEvent
 }
 
-// meetsTarget says whether a call can be in time at a server, and leaves all streams there the
-// pauses that callers allow. One that can wait also keeps off servers whose streams break
-// them.
+// meetsTarget reports whether a call can meet its target at a server without exceeding the
+// gaps that the streams there allow. A call that can wait also avoids servers whose streams
+// exceed them.
 func (f *forecast) meetsTarget(now time.Time, one *server, req *Request, canWait bool) bool {
 	if f.maxGap > 0 && f.prefillGap(one, req) > f.maxGap {
 		return false
@@ -131,7 +131,8 @@
 	return f.firstEventDelay(one, req) <= left && (!canWait || f.stalls(one, req) <= maxStalls)
 }
 
-// latencyScore is the time to a call's first event as a part of the time to its target.
+// latencyScore returns the time to a call's first event as a fraction of the time to its
+// target.
 func (f *forecast) latencyScore(now time.Time, one *server, req *Request) float64 {
 	left := req.Target.Sub(now).Seconds()
 	if left <= 0 {
@@ -140,14 +141,14 @@
 	return f.firstEventDelay(one, req) / left
 }
 
-// anyMeetsTarget says whether some server lets a call be in time.
+// anyMeetsTarget reports whether a call can meet its target at some server.
 func (s *service) anyMeetsTarget(now time.Time, f *forecast, req *Request, canWait bool) bool {
 	return slices.ContainsFunc(s.servers, func(one *server) bool {
 		return s.healthy(now, one) && !one.withheld(now) && !slices.Contains(req.Exclude, one.life) && f.meetsTarget(now, one, req, canWait)
 	})
 }
 
-// canWait says whether a call may let a slot go and still start in time.
+// canWait reports whether a call can leave a slot to another and still start in time.
 func (s *service) canWait(now time.Time, req *Request) bool {
 	tier := queueTier(req, false)
 	return s.startDelay(now, tier, s.waitingIn(tier)+1) < req.Target.Sub(now).Seconds()
--- a/services/dispatch/ranks.go
+++ b/services/dispatch/ranks.go
@@ -1,17 +1,16 @@
 package dispatch
 
-// startShareWeight is the weight of the newest start in a tier's share of the starts: some
-// twenty starts tell, which is half a second under load.
+// startShareWeight is the weight of the newest start in a tier's share of the starts. It
+// averages over some twenty starts, which take half a second under load.
 const startShareWeight = 0.05
 
-// rankStats is what is known of the calls of one route's rank.
+// rankStats holds statistics of the calls of one route rank.
 type rankStats struct {
-	// duration is how long such a call has its slot on average, in seconds; 0 is not
-	// known.
+	// duration is the mean time in seconds for which such a call holds its slot; 0 is unknown.
 	duration average
 }
 
-// statsFor gives what is known of a route's rank.
+// statsFor returns the statistics of a route rank.
 func (s *service) statsFor(routeRank int) *rankStats {
 	if s.rankStats == nil {
 		s.rankStats = make(map[int]*rankStats)
@@ -24,15 +23,15 @@
 	return one
 }
 
-// lowestRankIsLong says whether calls of the lowest rank have their slots for longer than
-// the average call: only then does a slot that they leave free spare others a wait.
+// lowestRankIsLong reports whether calls of the lowest rank hold their slots for longer than
+// the mean call. Only then does reserving slots from them shorten the wait of others.
 func (s *service) lowestRankIsLong() bool {
 	lowest := s.statsFor(s.lowestRank).duration
 	return lowest == 0 || lowest >= s.duration
 }
 
-// recordStart records which of the tiers that wait a call started from. A tier that
-// nothing is known of is taken to get every start.
+// recordStart records from which of the waiting tiers a call started. A tier without records
+// is taken to get every start.
 func (s *service) recordStart(tier int) {
 	if s.startShares == nil {
 		s.startShares = make(map[int]float64)
@@ -46,7 +45,7 @@
 	s.startShares[tier] = share + startShareWeight*(1-share)
 }
 
-// startShare is the part of the starts that a tier gets while its calls wait.
+// startShare returns the fraction of the starts that a tier gets while it has calls waiting.
 func (s *service) startShare(tier int) float64 {
 	if share, ok := s.startShares[tier]; ok {
 		return share
--- a/services/dispatch/hope.go
+++ b/services/dispatch/start_estimate.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// durationWeight is the weight of the newest call in the average duration.
+	// durationWeight is the weight of the newest call in the mean duration.
 	durationWeight = 0.05
-	// minWaitFraction is the part of its caller's patience that a late call may wait at least,
-	// however long it keeps its slot. Of long and short ones that come too late the short
-	// go first: 0.377 in place of 0.372 of the lowest rank's calls are on time and 0.380 in
-	// place of 0.388 refused (10 paired plays of days on which all slots are taken). The
-	// bound leaves the long their turn as soon as the queue is short.
+	// minWaitFraction is the lowest fraction of its caller timeout for which a late call may
+	// wait, however long it holds its slot. Rejecting long late calls before short ones raises
+	// the lowest rank's calls on time from 0.372 to 0.377 and lowers those refused from 0.388
+	// to 0.380 while all slots are taken (10 paired simulations). The bound lets long calls
+	// start once the queue is short.
 	minWaitFraction = 0.3
-	// startMargin is how much before its caller leaves a call must start at least.
+	// startMargin is how long before its caller disconnects a call must start.
 	startMargin = 300 * time.Millisecond
 )
 
-// checkAdmission decides whether a call that comes now waits for its target, or, if it is not likely
-// to start by then, as a late one.
+// checkAdmission decides whether a call that arrives waits for its target or, if it is not
+// likely to start by then, as a late call. It returns an error if the call should not wait.
 func (s *service) checkAdmission(now time.Time, w *waiter) error {
 	if w.req.Resumed {
 		return s.checkLateAdmission(now, w)
@@ -38,15 +38,15 @@
 	return s.checkLateAdmission(now, w)
 }
 
-// checkLateAdmission says whether a late call has no hope to start before its caller leaves: that
-// one is better told at once. An answer that broke off is let wait, but not where all servers
-// rest for longer than its caller waits.
+// checkLateAdmission returns an error if a late call is not likely to start before its caller
+// disconnects, so that it is refused at once. A resumed call may wait anyway, unless all
+// servers back off for longer than its caller waits.
 func (s *service) checkLateAdmission(now time.Time, w *waiter) error {
 	return s.checkLateStart(now, w, s.waitingIn(queueTier(w.req, true)))
 }
 
-// checkLateStart gives an error if a late call that has so many ahead is not likely to start
-// before its caller leaves.
+// checkLateStart returns an error if a late call with ahead calls before it is not likely to
+// start before its caller disconnects.
 func (s *service) checkLateStart(now time.Time, w *waiter, ahead int) error {
 	left := w.req.lastStart().Sub(now).Seconds()
 	if w.req.Resumed && s.restsFor(now).Seconds() <= left {
@@ -65,8 +65,9 @@
 	return errorx.Decorate(runworks.ErrShortage, "%d late calls wait ahead for some %.0f ms, the caller leaves in %.0f ms", ahead, in*1000, left*1000)
 }
 
-// waitFraction is the part of its caller's waitFraction that a call may wait late: the less, the
-// longer it is expected to keep its slot beyond the mean of its route's rank.
+// waitFraction returns the fraction of its caller timeout for which a call may wait late. The
+// longer the call is expected to hold its slot, compared with the mean of its route's rank,
+// the lower it is.
 func (s *service) waitFraction(req *Request) float64 {
 	mean := float64(s.statsFor(req.RouteRank).duration)
 	typical, _ := s.paces()
@@ -77,9 +78,9 @@
 	return min(max(mean/expected, minWaitFraction), 1)
 }
 
-// prune tells the late calls that have no hope any more, as the queue moves: calls held
-// until their callers left untried, a third of the lowest rank's on the busiest day. Those that
-// are not late yet have none either where all servers asked for a rest that outlasts them.
+// prune refuses late calls that are no longer likely to start. Otherwise callers disconnect
+// without an attempt: on the busiest days a third of those of the lowest rank. Calls that are
+// not late yet are checked too while all servers back off.
 func (s *service) prune(now time.Time) {
 	var waiting []*waiter
 	backoff := s.restsFor(now) > 0
@@ -101,13 +102,13 @@
 	}
 }
 
-// byLastStart orders calls by when their callers leave, and as they came.
+// byLastStart orders calls by their last possible start, then by arrival.
 func byLastStart(a, b *waiter) int {
 	return cmp.Or(a.req.lastStart().Compare(b.req.lastStart()), cmp.Compare(a.arrival, b.arrival))
 }
 
-// startDelay is in how many seconds a call of a tier starts that has so many ahead; 0 for
-// the first where a slot is all that it needs, and as long as nothing is known.
+// startDelay returns in how many seconds a call of a tier with ahead calls before it starts. It
+// is 0 for the first call where nothing but a slot is needed, and while too little is known.
 func (s *service) startDelay(now time.Time, tier, ahead int) float64 {
 	if s.withheld(now) {
 		return s.withheldStart(now, s.startShare(tier), ahead)
@@ -119,8 +120,8 @@
 	return float64(ahead+1) / rate
 }
 
-// startRate is how many calls start here in a second when the slots that this entry
-// has are used in full; 0 if that is not known.
+// startRate returns how many calls start per second while this entry uses the slots that it
+// has without a break; 0 if that is unknown.
 func (s *service) startRate() float64 {
 	if s.duration == 0 {
 		return 0
@@ -132,7 +133,7 @@
 	return float64(own) / float64(s.duration)
 }
 
-// waitingIn is how many calls of a tier wait.
+// waitingIn returns how many calls of a tier wait.
 func (s *service) waitingIn(tier int) int {
 	n := 0
 	s.queue.EachTier(func(rank, waiting int) {
@@ -143,7 +144,7 @@
 	return n
 }
 
-// lastStart is when the call must have a server at the latest.
+// lastStart returns the latest time at which the call must be assigned a server.
 func (a *Request) lastStart() time.Time {
 	if a.CallerTimeout.IsZero() || a.Deadline.Before(a.CallerTimeout) {
 		return a.Deadline
--- a/services/dispatch/turn.go
+++ b/services/dispatch/turn.go
@@ -9,20 +9,19 @@
 	"github.com/runworks/runworks"
 )
 
-// turnDuration, and turnDurationPerPeer for each other entry, is after how long a free slot is
-// open to one more entry: the first in turn has taken it and told so by then, or has
-// not. Both are twice the time between heartbeats (package peers).
+// turnDuration, plus turnDurationPerPeer for each other entry, is the time after which a free
+// slot is offered to one more entry: by then the first in turn has either taken it and
+// reported that, or left it. Both are twice the heartbeat interval (package peers).
 const (
 	turnDuration        = 100 * time.Millisecond
 	turnDurationPerPeer = 4 * time.Millisecond
 )
 
-// serversInTurn gives those of the open servers that this entry may use for a call of its
-// highest waiting rank. A slot that becomes free is told to all entries at once, and
-// all that have calls waiting would send one. So they share free slots by what all of
-// them know: the higher rank goes first, and between equals a hash weighted with the
-// number of calls that wait. A slot that the entry's own call left is its own until
-// the others are told.
+// serversInTurn returns those of the available servers that this entry may use for a call of
+// its highest waiting rank. All entries learn of a free slot at the same time, and each with
+// calls waiting would send one. So they divide free slots by what all of them know: the
+// higher rank goes first, and among equals a hash weighted by the number of waiting calls.
+// A slot that a call of this entry freed belongs to it until the others are notified.
 func (d *Dispatcher) serversInTurn(now time.Time, s *service, available []*server) []*server {
 	if s.outpacesUpdates() {
 		return available
@@ -33,7 +32,7 @@
 	out := available[:0]
 	for _, one := range available {
 		if one.limit.Active(now) {
-			out = append(out, one) // each entry has a part of its own
+			out = append(out, one) // each entry has a share of its own
 			continue
 		}
 		offered := s.freeSlots(one, own.Rank) + one.unusedTurns(now, d.turnDuration())
@@ -50,7 +49,7 @@
 	runworks.WaitingCall
 }
 
-// contenders gives the entries whose calls compete with one of a rank.
+// contenders returns the entries whose calls compete with one of a rank.
 func (d *Dispatcher) contenders(service string, rank int) []contender {
 	out := make([]contender, 0, len(d.peers))
 	for life, load := range d.peers {
@@ -61,8 +60,8 @@
 	return out
 }
 
-// inTurn says whether fewer rivals than slots are offered come before this entry at a
-// server. With a hundred rivals and one slot some five of them tell.
+// inTurn reports whether fewer contenders than the slots offered are ahead of this entry at a
+// server. With a hundred contenders and one slot, about five are compared before it returns.
 func (d *Dispatcher) inTurn(one *server, contenders []contender, mine runworks.WaitingCall, offered int) bool {
 	ahead := 0
 	own := 0.0
@@ -80,23 +79,23 @@
 	return ahead < offered
 }
 
-// turnDuration is how long an entry in turn has for itself.
+// turnDuration returns how long a free slot is offered to each entry in turn.
 func (d *Dispatcher) turnDuration() time.Duration {
 	return turnDuration + time.Duration(len(d.peers))*turnDurationPerPeer
 }
 
-// claimWeight is the weight of an entry's claimWeight on a server, by weighted rendezvous
-// hashing: of all entries the one with the most calls has most often the highest.
+// claimWeight returns the weight of an entry's claim on a server by weighted rendezvous
+// hashing: the more calls wait at an entry, the more often its claim is the highest.
 func claimWeight(server string, entry runworks.Incarnation, calls int) float64 {
 	return float64(calls) / -math.Log(rendezvousHash(server, entry))
 }
 
-// rendezvousHash gives a number between 0 and 1 that an entry and a server have in common.
+// rendezvousHash returns a number between 0 and 1 for a pair of a server and an entry.
 func rendezvousHash(server string, entry runworks.Incarnation) float64 {
 	return (float64(xxhash.Sum64String(server+string(entry))>>11) + 0.5) / (1 << 53)
 }
 
-// unusedTurns is how many turns have passed since the server's load changed: so many more
+// unusedTurns returns how many turns passed since the server's load changed. So many more
 // entries may use a slot of it, as those before them did not.
 func (s *server) unusedTurns(now time.Time, turn time.Duration) int {
 	if load := s.load(); load != s.seen || s.since.IsZero() {
--- a/services/dispatch/waiting.go
+++ b/services/dispatch/waiting.go
@@ -8,32 +8,31 @@
 )
 
 const (
-	// routeSteps spreads the ranks of customers, so that the ranks of routes stand
-	// between them.
+	// routeSteps is the number of tiers in each group, one for each route rank.
 	routeSteps = 16
-	// lateSteps spreads the ranks of customers once more, so that calls that missed their
-	// targets stand behind all of their customers' rank that can still meet theirs.
+	// lateSteps is the number of groups of tiers for each customer rank: calls that missed
+	// their targets come after all of the same rank that can still meet theirs.
 	lateSteps = 2
-	// lengthPenaltyFraction is which part of its expected duration a call stands behind shorter ones
-	// of its customer: small, so that the longest, which are worth most to their callers,
-	// are seldom late.
+	// lengthPenaltyFraction is the fraction of its expected duration by which a call is moved
+	// behind shorter ones of its customer. It is small, so that the longest calls, which are
+	// worth most to their callers, are seldom late.
 	lengthPenaltyFraction = 0.1
 )
 
-// waiter is a call that waits.
+// waiter is a waiting call.
 type waiter struct {
 	req   *Request
 	lease chan *Lease
 	late  bool
-	// arrival tells the order in which calls came.
+	// arrival numbers calls in the order in which they arrived.
 	arrival int
-	// feasible says that some server could let it be in time when it came.
+	// feasible reports whether some server could let the call meet its target on arrival.
 	feasible bool
 	// err is set before lease is closed.
 	err error
 }
 
-// enqueueLocked puts a call in the queue of its service; false if it is full.
+// enqueueLocked puts a call in the queue of its service and reports whether there was room.
 func (d *Dispatcher) enqueueLocked(s *service, w *waiter) bool {
 	s.recordRank(w.req.RouteRank)
 	if gap := w.req.MaxGap; gap > 0 && (s.maxGap == 0 || gap < s.maxGap) {
@@ -58,7 +57,7 @@
 	return true
 }
 
-// drop gives up a call that waits, and says why.
+// drop removes a waiting call, which returns err.
 func (s *service) drop(id runworks.RequestID, err error) {
 	if w := s.waiters[id]; w != nil {
 		delete(s.waiters, id)
@@ -72,7 +71,7 @@
 	close(w.lease)
 }
 
-// result gives the lease that the call received, or why there is none.
+// result returns the lease that the call received, or the error if there is none.
 func (w *waiter) result(lease *Lease) (*Lease, error) {
 	if lease == nil {
 		return nil, w.err
@@ -80,8 +79,8 @@
 	return lease, nil
 }
 
-// demote puts a call that missed its target behind those that can still meet theirs. One
-// that has no hope to be served there before its caller leaves is told so.
+// demote moves a call that missed its target behind those that can still meet theirs. It
+// returns an error if the call is not likely to start there before its caller disconnects.
 func (d *Dispatcher) demote(w *waiter) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -97,11 +96,11 @@
 	if !d.enqueueLocked(s, w) {
 		w.abandon(runworks.ErrShortage)
 	}
-	d.pumpLocked(s) // a late call may have what it had to leave before
+	d.pumpLocked(s) // a late call may use servers that it had to avoid before
 	return nil
 }
 
-// cancel takes a call out of the queue; a lease that came in the meantime wins.
+// cancel removes a call from the queue; a lease that was granted in the meantime is returned.
 func (d *Dispatcher) cancel(w *waiter, err error) (*Lease, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,9 +116,9 @@
 	return nil, err
 }
 
-// queueTier gives the tier in which a call waits. An answer that broke off goes on before
-// anything new of its customer's rank: what was read and made would be lost, and its
-// caller leaves soon.
+// queueTier returns the tier in which a call waits. An answer that broke off comes before
+// all new calls of its customer's rank: what was read and generated would be lost, and its
+// caller disconnects soon.
 func queueTier(req *Request, late bool) int {
 	step := lateSteps * req.Rank
 	if req.Resumed {
@@ -131,19 +130,21 @@
 	return routeSteps*step + min(req.RouteRank, routeSteps-1)
 }
 
-// isLateTier says whether a tier is one of late calls.
+// isLateTier reports whether a tier holds late calls.
 func isLateTier(queueRank int) bool { return queueRank/routeSteps%lateSteps == 1 }
 
-// routeRank gives the route's rank back.
+// routeRank returns the route rank of a tier.
 func routeRank(queueRank int) int { return queueRank % routeSteps }
 
-// lengthPenalty is how much later than by its deadline a call stands in its customer's order.
+// lengthPenalty returns how much later than by its deadline a call is placed in its customer's
+// order.
 func (s *service) lengthPenalty(req *Request) time.Duration {
 	_, fastest := s.paces()
 	return time.Duration(lengthPenaltyFraction * s.expectedEvents(req) * fastest * float64(time.Second))
 }
 
-// expectedEvents is how many expectedEvents a call's answer is expected to have; 0 if that is not known.
+// expectedEvents returns how many events a call's answer is expected to have; 0 if that is
+// unknown.
 func (s *service) expectedEvents(req *Request) float64 {
 	if s.tokensPerEvent == 0 {
 		return 0
