--- a/services/dispatch/backoff_press_test.go
+++ b/services/dispatch/backoff_press_test.go
@@ -89,7 +89,7 @@
 	for _, to := range p.entries {
 		if to != from && from.reaches(to) {
 			to.mu.Lock()
-			to.hearRestLocked(time.Now(), to.servers[server], lasts)
+			to.applyBackoffLocked(time.Now(), to.servers[server], lasts)
 			to.mu.Unlock()
 		}
 	}
--- a/services/dispatch/backoff_test.go
+++ b/services/dispatch/backoff_test.go
@@ -32,14 +32,14 @@
 		rests(d, "s0", 2*time.Second)
 		rests(d, "s0", time.Second) // an answer that was overtaken
 		is.Equal(asked, []time.Duration{2 * time.Second})
-		is.Equal(time.Until(d.servers["s0"].rest.until), 2*time.Second)
+		is.Equal(time.Until(d.servers["s0"].backoff.until), 2*time.Second)
 		is.Equal(placed.Unavailable(), placed.Instance.ID == "s0")
 		placed.Release(Abandoned)
 		is.Equal(served(t, d), map[string]int{"s1": 4})
 		is.Equal(len(d.LocalLoad().Ejected), 0)
 		is.Equal(d.TransferPermits("s0", 1), 0)
 
-		time.Sleep(time.Until(d.servers["s0"].rest.until))
+		time.Sleep(time.Until(d.servers["s0"].backoff.until))
 		got := 0
 		for i, want := range []int{1, 1, 2, 4, 8} { // 16 slots in all
 			n := served(t, d)["s0"]
@@ -49,7 +49,7 @@
 			}
 			is.Equal(n, want)
 			got += n
-			time.Sleep(restStep - time.Millisecond) // the call that found none took one
+			time.Sleep(rampStep - time.Millisecond) // the call that found none took one
 		}
 		is.Equal(got, 8)
 	})
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4, 4)
-		d.servers["s0"].note(time.Now(), Unreachable)
+		d.servers["s0"].recordResult(time.Now(), Unreachable)
 		is.Equal(served(t, d), map[string]int{"s1": 4})
 		rests(d, "s1", time.Second)
 		is.Equal(served(t, d), map[string]int{"s0": 4})
@@ -186,7 +186,7 @@
 		is := is.New(t)
 		d := newDispatcher(4)
 		rests(d, "s0", 1<<62)
-		time.Sleep(longestRest - time.Second)
+		time.Sleep(maxBackoff - time.Second)
 		is.Equal(served(t, d), map[string]int{})
 		time.Sleep(2 * time.Second)
 		is.Equal(served(t, d), map[string]int{"s0": 4})
--- a/services/dispatch/choose.go
+++ b/services/dispatch/choose.go
@@ -41,9 +41,9 @@
 // server of the service is both healthy and not backing off, as a back-off may be long.
 func (s *service) available(now time.Time) []*server {
 	var open []*server
-	healthy := slices.ContainsFunc(s.servers, func(one *server) bool { return s.healthy(now, one) && !one.rest.asked(now) })
+	healthy := slices.ContainsFunc(s.servers, func(one *server) bool { return s.healthy(now, one) && !one.backoff.active(now) })
 	for _, one := range s.servers {
-		if one.room(now, s) && (s.healthy(now, one) || !healthy) {
+		if one.admits(now, s) && (s.healthy(now, one) || !healthy) {
 			open = append(open, one)
 		}
 	}
@@ -131,10 +131,10 @@
 	feasible := !w.late && w.feasible || s.anyMeetsTarget(now, f, req, canWait)
 	var out []*server
 	for _, one := range open {
-		if slices.Contains(req.Exclude, one.life) || s.freeSlots(one, tier) <= 0 {
+		if slices.Contains(req.Exclude, one.incarnation) || s.freeSlots(one, tier) <= 0 {
 			continue
 		}
-		if float64(one.pace) > fastest*paceTolerance && s.expectedDuration(one, req) > left {
+		if float64(one.meanGap) > fastest*paceTolerance && s.expectedDuration(one, req) > left {
 			continue
 		}
 		if feasible && !f.meetsTarget(now, one, req, canWait) {
@@ -148,15 +148,15 @@
 // expectedDuration returns how many seconds a server needs for the events of a call's stream,
 // with a margin as estimates are often too low; 0 if that is unknown.
 func (s *service) expectedDuration(one *server, req *Request) float64 {
-	return lengthMargin * s.expectedEvents(req) * float64(one.pace)
+	return lengthMargin * s.expectedEvents(req) * float64(one.meanGap)
 }
 
 // score returns a server's score, lower is better: the fraction of its slots in use, weighted
 // by its pace relative to the others.
 func (d *Dispatcher) score(s *server, typical float64) float64 {
 	score := float64(s.load()+1) / float64(max(s.Slots, 1))
-	if s.pace > 0 && typical > 0 {
-		score *= float64(s.pace) / typical
+	if s.meanGap > 0 && typical > 0 {
+		score *= float64(s.meanGap) / typical
 	}
 	score *= 1 + maxPreference*rendezvousHash(s.ID, d.Self)
 	switch {
@@ -173,10 +173,10 @@
 func (s *service) paces() (typical, fastest float64) {
 	sum, n := 0.0, 0
 	for _, one := range s.servers {
-		if one.pace == 0 || one.Draining {
+		if one.meanGap == 0 || one.Draining {
 			continue
 		}
-		pace := float64(one.pace)
+		pace := float64(one.meanGap)
 		if n == 0 || pace < fastest {
 			fastest = pace
 		}
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -94,9 +94,9 @@
 	// been unreachable.
 	unreachable map[runworks.Incarnation]time.Time
 	// pendingNotices are notices of servers that are not known yet.
-	pendingNotices map[string]earlyWord
+	pendingNotices map[string]earlyNotice
 	// expiredReports are reports of servers whose records expired recently.
-	expiredReports map[string]lapsedWords
+	expiredReports map[string]expiredReport
 }
 
 // service holds the backend servers of a service and the calls that wait for them.
@@ -132,7 +132,7 @@
 	// tokensPerEvent is the mean number of expected tokens that one event accounts for; 0 is
 	// unknown.
 	tokensPerEvent average
-	permitRequests borrowing
+	permitRequests permitRequests
 }
 
 // Acquire waits until a backend server is free for the call. It returns ErrNoServer if no
@@ -210,9 +210,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	d.watchSilenceLocked(now)
-	d.tendLimitsLocked(now)
-	d.tendLapsedLocked(now)
+	d.watchUnresponsiveLocked(now)
+	d.expireLimitsLocked(now)
+	d.pruneExpiredLocked(now)
 	for _, s := range d.services {
 		s.prune(now)
 		d.pumpLocked(s)
@@ -243,10 +243,10 @@
 			skipped = append(skipped, w)
 			continue
 		}
-		target.reading += w.req.PromptTokens
+		target.ownUnread += w.req.PromptTokens
 		s.recordStart(t.Tier)
 		lease := &Lease{Instance: target.Instance, dispatcher: d, server: target, service: s.name, routeRank: routeRank(t.Tier), began: now, unreadTokens: w.req.PromptTokens}
-		target.take(now, lease)
+		target.addLease(now, lease)
 		w.lease <- lease
 	}
 	for _, w := range skipped {
@@ -254,7 +254,7 @@
 			w.abandon(runworks.ErrShortage)
 		}
 	}
-	d.borrowLocked(now, s)
+	d.requestPermitsLocked(now, s)
 }
 
 // hasServerFor reports whether there is a backend server to which the call may go. A retry
@@ -262,7 +262,7 @@
 // of more use to a call that has no answer yet. A stream that is resumed does wait.
 func (s *service) hasServerFor(now time.Time, req *Request) bool {
 	for _, one := range s.servers {
-		if !one.Draining && !slices.Contains(req.Exclude, one.life) && (!req.Retry || req.Resumed || !one.withheld(now)) {
+		if !one.Draining && !slices.Contains(req.Exclude, one.incarnation) && (!req.Retry || req.Resumed || !one.throttled(now)) {
 			return true
 		}
 	}
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -305,7 +305,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9)
-		for broken := 0; broken < failuresToSuspend; {
+		for broken := 0; broken < failuresToEject; {
 			lease := <-acquired(d, ask(fmt.Sprint("break", broken), 0))
 			if lease.Instance.ID == "s0" {
 				broken++
@@ -320,7 +320,7 @@
 		for i := range 3 {
 			is.Equal((<-acquired(d, ask(fmt.Sprint(i), 0))).Instance.ID, "s1")
 		}
-		time.Sleep(lastSuspension)
+		time.Sleep(maxEjection)
 		is.Equal((<-acquired(d, ask("later", 0))).Instance.ID, "s0")
 	})
 }
--- a/services/dispatch/expiry_test.go
+++ b/services/dispatch/expiry_test.go
@@ -39,14 +39,14 @@
 	_, _ = l.Merge(now, all[1:])
 	list, next = l.Merge(now, nil) // the store lost them; s1 had said that it leaves
 	is.Equal(ids(list), "s2 s3 s4 s5")
-	is.Equal(next, lapseGrace)
-	now = now.Add(lapseGrace / 2)
+	is.Equal(next, expiryGrace)
+	now = now.Add(expiryGrace / 2)
 	list, next = l.Merge(now, all[4:]) // two are back
 	is.Equal(ids(list), "s2 s3 s4 s5")
-	is.Equal(next, lapseGrace/2)
+	is.Equal(next, expiryGrace/2)
 	list, next = l.Merge(now, nil) // and gone again
 	is.Equal(ids(list), "s2 s3 s4 s5")
-	is.Equal(next, lapseGrace/2) // the first of them
+	is.Equal(next, expiryGrace/2) // the first of them
 	list, next = l.Merge(now.Add(next), all[4:])
 	is.Equal(ids(list), "s4 s5")
 	is.Equal(next, time.Duration(0))
@@ -68,20 +68,20 @@
 	l.StoreRestored(now)
 	list, next := l.Merge(now, slices.Clone(all[:5]))
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
-	is.Equal(next, lapseGrace)
-	now = now.Add(lapseGrace / 2)
+	is.Equal(next, expiryGrace)
+	now = now.Add(expiryGrace / 2)
 	list, next = l.Merge(now, slices.Clone(all)) // s5 wrote again
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
-	is.Equal(next, returnGrace-lapseGrace/2)
+	is.Equal(next, restoreGrace-expiryGrace/2)
 	list, next = l.Merge(now.Add(next-1), slices.Clone(all))
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	is.Equal(next, time.Duration(1))
-	list, next = l.Merge(now.Add(returnGrace), slices.Clone(all)) // it is still there: it lives
+	list, next = l.Merge(now.Add(restoreGrace), slices.Clone(all)) // it is still there: it lives
 	is.Equal(ids(list), "s0 s1 s2 s3 s4 s5")
 	is.Equal(next, time.Duration(0))
 
 	// One that goes and comes back after that is no older copy's.
-	now = now.Add(2 * returnGrace)
+	now = now.Add(2 * restoreGrace)
 	_, _ = l.Merge(now, slices.Clone(all[1:]))
 	list, _ = l.Merge(now, slices.Clone(all))
 	is.Equal(ids(list), "s0 s1 s2 s3 s4 s5")
--- a/services/dispatch/health.go
+++ b/services/dispatch/health.go
@@ -3,103 +3,103 @@
 import "time"
 
 const (
-	// silence is how long a server that has calls of this entry may give nothing at
+	// unresponsiveTimeout is how long a server that has calls of this entry may give nothing at
 	// all: many times the pause between two events, and the first event of a long
 	// prompt is there by then.
-	silence = time.Second
-	// silentResponses is how many times the mean time to an answer's head a server
+	unresponsiveTimeout = time.Second
+	// unresponsiveFactor is how many times the mean time to an answer's head a server
 	// may be silent, where that is more.
-	silentResponses = 4
+	unresponsiveFactor = 4
 	// responseWeight is the weight of the newest answer in the mean time to its head.
 	responseWeight = 0.05
-	// minFailed is how many calls in a row a server must have answered by a failure, at
+	// minErrors is how many calls in a row a server must have answered by a failure, at
 	// all entries together, and failedFactor how many times as many as the others of
 	// its service on average, before it is left out for failedSuspension: some calls
 	// fail at every server.
-	minFailed        = 5
-	failedFactor     = 3
-	failedSuspension = time.Second
-	// entriesPerDoubt is for how many other entries one more of them has to leave a server
+	minErrors        = 5
+	errorFactor     = 3
+	errorEjection = time.Second
+	// entriesPerEjection is for how many other entries one more of them has to leave a server
 	// out before all do: a call or two broken by chance are met by some entry of a hundred
 	// all the time, and what is really lost is met by several.
-	entriesPerDoubt = 50
+	entriesPerEjection = 50
 )
 
 // healthy says whether calls may be sent to a server as long as others can do the
 // work. What other entries say of it counts until it was heard here.
 func (s *service) healthy(now time.Time, one *server) bool {
-	doubted := !one.doubted.IsZero() && !one.heard.After(one.doubted)
+	doubted := !one.peerEjectedSince.IsZero() && !one.lastReceived.After(one.peerEjectedSince)
 	return !one.Draining && !doubted && !one.failing(now, s)
 }
 
 // failing says whether calls of this entry speak against a server.
 func (s *server) failing(now time.Time, of *service) bool {
-	return s.moved || now.Before(s.suspended) || s.silent(now, of)
+	return s.addressReused || now.Before(s.ejectedUntil) || s.unresponsive(now, of)
 }
 
-// silent says whether a server gave nothing for so long that its calls are likely
+// unresponsive says whether a server gave nothing for so long that its calls are likely
 // to be lost.
-func (s *server) silent(now time.Time, of *service) bool {
-	if s.own == 0 {
+func (s *server) unresponsive(now time.Time, of *service) bool {
+	if s.ownCalls == 0 {
 		return false
 	}
-	last := s.busy
-	if s.heard.After(last) {
-		last = s.heard
+	last := s.busySince
+	if s.lastReceived.After(last) {
+		last = s.lastReceived
 	}
-	limit := silence
+	limit := unresponsiveTimeout
 	if of != nil {
-		limit = max(limit, time.Duration(silentResponses*float64(of.responseTime)*float64(time.Second)))
+		limit = max(limit, time.Duration(unresponsiveFactor*float64(of.responseTime)*float64(time.Second)))
 	}
 	return now.Sub(last) > limit
 }
 
-// watchSilenceLocked tells of servers that fell silent or were heard again.
-func (d *Dispatcher) watchSilenceLocked(now time.Time) {
+// watchUnresponsiveLocked tells of servers that fell silent or were heard again.
+func (d *Dispatcher) watchUnresponsiveLocked(now time.Time) {
 	for _, one := range d.servers {
-		silent := one.silent(now, d.services[one.Service])
-		if silent != one.wasSilent && d.OnUnresponsive != nil {
+		silent := one.unresponsive(now, d.services[one.Service])
+		if silent != one.wasUnresponsive && d.OnUnresponsive != nil {
 			d.OnUnresponsive(one.Instance, silent)
 		}
-		one.wasSilent = silent
+		one.wasUnresponsive = silent
 	}
 }
 
-// noteDoubtsLocked keeps since when other entries leave a server out. After their word
+// notePeerEjectionsLocked keeps since when other entries leave a server out. After their word
 // one more failure here is enough.
-func (d *Dispatcher) noteDoubtsLocked(now time.Time, s *server) {
-	before := s.doubted
+func (d *Dispatcher) notePeerEjectionsLocked(now time.Time, s *server) {
+	before := s.peerEjectedSince
 	switch {
-	case s.doubts <= len(d.peers)/entriesPerDoubt:
-		s.doubted = time.Time{}
-	case s.doubted.IsZero():
-		s.doubted = now
-		s.failures = max(s.failures, failuresToSuspend-1)
+	case s.peerEjections <= len(d.peers)/entriesPerEjection:
+		s.peerEjectedSince = time.Time{}
+	case s.peerEjectedSince.IsZero():
+		s.peerEjectedSince = now
+		s.unanswered = max(s.unanswered, failuresToEject-1)
 	}
-	if s.doubted != before && d.OnPeerEject != nil {
-		d.OnPeerEject(s.Instance, s.doubts)
+	if s.peerEjectedSince != before && d.OnPeerEject != nil {
+		d.OnPeerEject(s.Instance, s.peerEjections)
 	}
 }
 
-// judgeLocked leaves out the servers of a service that answer by failures while the
+// ejectFailingLocked leaves out the servers of a service that answer by failures while the
 // others do not.
-func (d *Dispatcher) judgeLocked(now time.Time, s *service) {
+func (d *Dispatcher) ejectFailingLocked(now time.Time, s *service) {
 	sum, n := 0, 0
 	for _, one := range s.servers {
 		if !one.Draining {
-			sum += one.failed + one.othersFailed
+			sum += one.ownErrors + one.peerErrors
 			n++
 		}
 	}
 	for _, one := range s.servers {
-		failed := one.failed + one.othersFailed
-		if one.failed == 0 || failed < minFailed || failed*(n-1) < failedFactor*(sum-failed) || now.Before(one.suspended) {
+		failed := one.ownErrors + one.peerErrors
+		if one.ownErrors == 0 || failed < minErrors || failed*(n-1) < errorFactor*(sum-failed) || now.Before(one.ejectedUntil) {
 			continue
 		}
-		one.failed = 0
-		one.suspended = now.Add(failedSuspension)
+		one.ownErrors = 0
+		one.ejectedUntil = now.Add(errorEjection)
 		if d.OnEject != nil {
-			d.OnEject(one.Instance, failed, failedSuspension)
+			d.OnEject(one.Instance, failed, errorEjection)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	l.server.heard = now
+	l.server.lastReceived = now
 	if s := d.services[l.service]; s != nil {
 		s.responseTime.add(now.Sub(l.began).Seconds(), responseWeight)
 	}
--- a/services/dispatch/health_test.go
+++ b/services/dispatch/health_test.go
@@ -34,7 +34,7 @@
 		is.Equal(silent.Instance.ID, "s0")
 		silent.RecordHeaders()
 		is.Equal(len(d.LocalLoad().Ejected), 0)
-		time.Sleep(silence + time.Millisecond)
+		time.Sleep(unresponsiveTimeout + time.Millisecond)
 		is.Equal(d.LocalLoad().Ejected, []string{"s0"})
 		d.pumpAll()
 		for i := range 3 {
@@ -117,14 +117,14 @@
 		d := newDispatcher(9, 9, 9)
 		bad := taken(t, d, "bad")
 		id := bad.Instance.ID
-		d.SetPeerLoad("other", runworks.EntryLoad{ConsecutiveFailures: map[string]int{id: minFailed - 1}})
+		d.SetPeerLoad("other", runworks.EntryLoad{ConsecutiveFailures: map[string]int{id: minErrors - 1}})
 		bad.Release(Failed)
 		is.Equal(d.LocalLoad().Ejected, []string{id})
 		is.Equal(len(d.LocalLoad().ConsecutiveFailures), 0) // the count starts anew
 		for i := range 6 {
 			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != id)
 		}
-		time.Sleep(failedSuspension)
+		time.Sleep(errorEjection)
 		is.Equal(len(d.LocalLoad().Ejected), 0)
 	})
 }
--- a/services/dispatch/incarnation_test.go
+++ b/services/dispatch/incarnation_test.go
@@ -46,8 +46,8 @@
 		now := d.servers["s0/200"]
 		is.True(d.services["llm"].healthy(time.Now(), now))
 		is.Equal(now.load(), 0)
-		is.Equal(now.othersReading+now.othersFailed+now.doubts, 0)
-		is.Equal(float64(now.pace), 0.0)
+		is.Equal(now.peerUnread+now.peerErrors+now.peerEjections, 0)
+		is.Equal(float64(now.meanGap), 0.0)
 		is.Equal(len(d.LocalLoad().Running), 0) // the call of the last life is not told
 
 		d.SetPeerLoad("behind", runs(runworks.RunningCalls{"s0/100": 4}))
@@ -64,8 +64,8 @@
 		second := <-acquired(d, again)
 		is.Equal(second.Instance.Generation, int64(200))
 		lease.Release(Interrupted) // tells nothing of the new life
-		is.Equal(now.failures, 0)
-		is.Equal(now.own, 1)
+		is.Equal(now.unanswered, 0)
+		is.Equal(now.ownCalls, 1)
 		second.Release(Served)
 	})
 }
--- a/services/dispatch/lease.go
+++ b/services/dispatch/lease.go
@@ -35,7 +35,7 @@
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
 	l.onExit = f
-	if l.server.ended {
+	if l.server.restarted {
 		l.notifyExit()
 	}
 }
@@ -52,12 +52,12 @@
 		d := l.dispatcher
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		l.server.vacate()
+		l.server.releaseSlot()
 		delete(l.server.leases, l)
 		l.markReadLocked()
 		now := time.Now()
-		if wait := l.server.note(now, r); wait > 0 && d.OnEject != nil {
-			d.OnEject(l.server.Instance, l.server.failures, wait)
+		if wait := l.server.recordResult(now, r); wait > 0 && d.OnEject != nil {
+			d.OnEject(l.server.Instance, l.server.unanswered, wait)
 		}
 		if s := d.services[l.service]; s != nil {
 			if r == Served {
@@ -66,7 +66,7 @@
 				s.served++
 			}
 			if r == Failed {
-				d.judgeLocked(now, s)
+				d.ejectFailingLocked(now, s)
 			}
 			d.pumpLocked(s)
 		}
@@ -77,14 +77,14 @@
 func (l *Lease) RecordEventGap(gap time.Duration) {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
-	l.server.heard = time.Now()
-	l.server.pace.add(gap.Seconds(), paceWeight)
-	l.server.steady.add(gap.Seconds(), steadyWeight)
+	l.server.lastReceived = time.Now()
+	l.server.meanGap.add(gap.Seconds(), gapWeight)
+	l.server.steadyGap.add(gap.Seconds(), steadyWeight)
 	stalled := 0.0
 	if s := l.dispatcher.services[l.service]; s != nil && s.maxGap > 0 && gap > s.maxGap {
 		stalled = 1
 	}
-	l.server.breaks += stallWeight * (stalled - l.server.breaks)
+	l.server.lateGaps += stallWeight * (stalled - l.server.lateGaps)
 }
 
 // RecordLength records the number of events of a complete answer for which the caller
@@ -108,7 +108,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	l.server.heard = now
+	l.server.lastReceived = now
 	l.markReadLocked()
 	if s := d.services[l.service]; s != nil && promptTokens > 0 {
 		s.prefill.add(float64(promptTokens), now.Sub(l.began).Seconds()/s.forecast().slowdown(l.server))
@@ -117,6 +117,6 @@
 
 // markReadLocked records that the call's prompt was read or no longer will be.
 func (l *Lease) markReadLocked() {
-	l.server.reading -= l.unreadTokens
+	l.server.ownUnread -= l.unreadTokens
 	l.unreadTokens = 0
 }
--- a/services/dispatch/limit.go
+++ b/services/dispatch/limit.go
@@ -9,9 +9,9 @@
 	"github.com/runworks/runworks/services/serverlimit"
 )
 
-// hearLimitLocked takes what a server says of the requests that it takes, in the answer to one
+// applyLimitLocked takes what a server says of the requests that it takes, in the answer to one
 // that was sent at that time.
-func (d *Dispatcher) hearLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, sent time.Time) {
+func (d *Dispatcher) applyLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, sent time.Time) {
 	var news bool
 	if limit.Named {
 		news = s.limit.Set(now, now, limit.PerSecond)
@@ -20,20 +20,20 @@
 	}
 	if news {
 		d.limitChangedLocked(now, s, "")
-		d.tellLimitLocked(now, s)
+		d.sendLimitLocked(now, s)
 	}
 }
 
-// takeLimitLocked takes what another entry told of the requests that a server takes, as it
+// applyPeerLimitLocked takes what another entry told of the requests that a server takes, as it
 // said at a time.
-func (d *Dispatcher) takeLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, at time.Time, from string) {
+func (d *Dispatcher) applyPeerLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, at time.Time, from string) {
 	var news bool
 	if limit.Named {
 		news = s.limit.Set(now, at, limit.PerSecond)
 	} else {
 		news = s.limit.Clear(now, at, at)
 		if word, _ := s.limit.Reported(); word.Named {
-			d.tellLimitLocked(now, s) // the server named it again since
+			d.sendLimitLocked(now, s) // the server named it again since
 		}
 	}
 	if news {
@@ -41,21 +41,21 @@
 	}
 }
 
-// tellLimitLocked tells the others the server's newest word of the requests that it takes.
-func (d *Dispatcher) tellLimitLocked(now time.Time, s *server) {
-	d.tellWord(s.limitNotice(now))
+// sendLimitLocked tells the others the server's newest word of the requests that it takes.
+func (d *Dispatcher) sendLimitLocked(now time.Time, s *server) {
+	d.sendNotice(s.limitNotice(now))
 }
 
 // limitNotice gives the server's newest word of the requests that it takes, for the others.
 func (s *server) limitNotice(now time.Time) runworks.ServerNotice {
 	word, at := s.limit.Reported()
-	return runworks.ServerNotice{Server: s.life, Limit: &word, LimitAgeMs: now.Sub(at).Milliseconds()}
+	return runworks.ServerNotice{Server: s.incarnation, Limit: &word, LimitAgeMs: now.Sub(at).Milliseconds()}
 }
 
 // limitChangedLocked gives this entry its part of a limit that changed; from names the entry
 // that told of it, empty for the server itself.
 func (d *Dispatcher) limitChangedLocked(now time.Time, s *server, from string) {
-	d.partLimitLocked(now, s)
+	d.shareLimitLocked(now, s)
 	// One that ends holds for a moment longer: its end is told then.
 	if word, _ := s.limit.Reported(); word.Named && d.OnRateLimit != nil {
 		d.OnRateLimit(s.Instance, LimitChange{Limit: word, From: from, Share: s.limit.Share(), Entries: len(d.others()) + 1})
@@ -79,31 +79,31 @@
 	return slices.AppendSeq(slices.Collect(maps.Keys(d.peers)), maps.Keys(d.unreachable))
 }
 
-// partLimitLocked gives this entry its part of a server's limit: which entries have one is
+// shareLimitLocked gives this entry its part of a server's limit: which entries have one is
 // told by a hash of the server and the entries, which all have in common.
-func (d *Dispatcher) partLimitLocked(now time.Time, s *server) {
+func (d *Dispatcher) shareLimitLocked(now time.Time, s *server) {
 	others := d.others()
-	own, ahead := rendezvousHash(s.life, d.Self), 0
+	own, ahead := rendezvousHash(s.incarnation, d.Self), 0
 	for _, id := range others {
-		if rendezvousHash(s.life, id) > own {
+		if rendezvousHash(s.incarnation, id) > own {
 			ahead++
 		}
 	}
 	s.limit.SetShare(now, serverlimit.ShareOf(s.limit.PerSecond(), ahead, len(others)+1))
 }
 
-// partLimitsLocked gives this entry its parts anew, as the entries changed.
-func (d *Dispatcher) partLimitsLocked(now time.Time) {
+// shareLimitsLocked gives this entry its parts anew, as the entries changed.
+func (d *Dispatcher) shareLimitsLocked(now time.Time) {
 	for _, s := range d.servers {
 		if s.limit.Active(now) {
-			d.partLimitLocked(now, s)
+			d.shareLimitLocked(now, s)
 		}
 	}
 }
 
-// tendLimitsLocked ends limits that servers name no more, and the parts of entries that are
+// expireLimitsLocked ends limits that servers name no more, and the parts of entries that are
 // gone.
-func (d *Dispatcher) tendLimitsLocked(now time.Time) {
+func (d *Dispatcher) expireLimitsLocked(now time.Time) {
 	for _, s := range d.servers {
 		if s.limit.Expired(now) {
 			s.limit = serverlimit.Limit{}
@@ -120,6 +120,6 @@
 		}
 	}
 	if gone {
-		d.partLimitsLocked(now)
+		d.shareLimitsLocked(now)
 	}
 }
--- a/services/dispatch/limit_test.go
+++ b/services/dispatch/limit_test.go
@@ -218,10 +218,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := &Dispatcher{}
-		for i := range 2 * maxEarly {
+		for i := range 2 * maxEarlyNotices {
 			d.ApplyNotices("other", []runworks.ServerNotice{{Server: strings.Repeat("x", i%97) + time.Duration(i).String()}})
 		}
-		is.Equal(len(d.pendingNotices), maxEarly)
+		is.Equal(len(d.pendingNotices), maxEarlyNotices)
 		time.Sleep(runworks.EntryTimeout + time.Second)
 		d.SetServers(nil)
 		is.Equal(len(d.pendingNotices), 0)
@@ -276,15 +276,15 @@
 		go d.Run(t.Context())
 		out := acquired(d, ask("c", 0))
 		time.Sleep(10 * time.Millisecond)
-		is.Equal(asked.Load(), int32(borrowTries))
+		is.Equal(asked.Load(), int32(permitRequestTries))
 		_, err := d.Acquire(context.Background(), ask("d", 0))
 		is.True(errors.Is(err, runworks.ErrShortage))
 		is.True(time.Since(began) < 20*time.Millisecond)
 		_, given := <-out
 		is.True(!given)
 		is.Equal(time.Since(began), time.Second)
-		is.True(asked.Load() > 2*borrowTries)
-		is.True(asked.Load() < 6*borrowTries)
+		is.True(asked.Load() > 2*permitRequestTries)
+		is.True(asked.Load() < 6*permitRequestTries)
 	})
 }
 
--- a/services/dispatch/model.go
+++ b/services/dispatch/model.go
@@ -73,7 +73,7 @@
 	f := &forecast{maxGap: s.maxGap.Seconds(), tokensPerEvent: float64(s.tokensPerEvent)}
 	f.overhead, f.perToken, f.known = s.prefill.fit()
 	for _, one := range s.servers {
-		if pace := float64(one.steady); pace > 0 && !one.Draining && (f.fastestPace == 0 || pace < f.fastestPace) {
+		if pace := float64(one.steadyGap); pace > 0 && !one.Draining && (f.fastestPace == 0 || pace < f.fastestPace) {
 			f.fastestPace = pace
 		}
 	}
@@ -83,10 +83,10 @@
 // slowdown returns how many times as long as at the service's fastest server the time between
 // events is; 1 while that is unknown.
 func (f *forecast) slowdown(one *server) float64 {
-	if f.fastestPace == 0 || one.steady == 0 {
+	if f.fastestPace == 0 || one.steadyGap == 0 {
 		return 1
 	}
-	return float64(one.steady) / f.fastestPace
+	return float64(one.steadyGap) / f.fastestPace
 }
 
 // firstEventDelay returns in how many seconds a call's first event is expected from a server,
@@ -96,7 +96,7 @@
 	if !f.known || req.PromptTokens == 0 {
 		return 0
 	}
-	tokens := req.PromptTokens + one.reading + one.othersReading
+	tokens := req.PromptTokens + one.ownUnread + one.peerUnread
 	return f.slowdown(one) * (f.overhead + f.perToken*float64(tokens))
 }
 
@@ -106,7 +106,7 @@
 	if !f.known {
 		return 0
 	}
-	return float64(one.steady) + f.slowdown(one)*f.perToken*float64(req.PromptTokens)
+	return float64(one.steadyGap) + f.slowdown(one)*f.perToken*float64(req.PromptTokens)
 }
 
 // stalls returns how many gaps longer than callers allow a call is expected to meet.
@@ -114,7 +114,7 @@
 	if f.tokensPerEvent == 0 {
 		return 0
 	}
-	return one.breaks * float64(req.ExpectedTokens) / f.tokensPerEvent
+	return one.lateGaps * float64(req.ExpectedTokens) / f.tokensPerEvent
 }
 
 // meetsTarget reports whether a call can meet its target at a server without exceeding the
@@ -144,7 +144,7 @@
 // anyMeetsTarget reports whether a call can meet its target at some server.
 func (s *service) anyMeetsTarget(now time.Time, f *forecast, req *Request, canWait bool) bool {
 	return slices.ContainsFunc(s.servers, func(one *server) bool {
-		return s.healthy(now, one) && !one.withheld(now) && !slices.Contains(req.Exclude, one.life) && f.meetsTarget(now, one, req, canWait)
+		return s.healthy(now, one) && !one.throttled(now) && !slices.Contains(req.Exclude, one.incarnation) && f.meetsTarget(now, one, req, canWait)
 	})
 }
 
--- a/services/dispatch/notices.go
+++ b/services/dispatch/notices.go
@@ -12,56 +12,56 @@
 	defer d.mu.Unlock()
 	now := time.Now()
 	for _, one := range list {
-		e := earlyWord{ServerNotice: one, from: from, told: now}
+		e := earlyNotice{ServerNotice: one, from: from, receivedAt: now}
 		if s := d.servers[one.Server]; s != nil {
-			d.takeWordLocked(now, s, &e)
+			d.applyNoticeLocked(now, s, &e)
 			continue
 		}
 		if d.pendingNotices == nil {
-			d.pendingNotices = make(map[string]earlyWord)
+			d.pendingNotices = make(map[string]earlyNotice)
 		}
-		if older, ok := d.pendingNotices[one.Server]; ok || len(d.pendingNotices) < maxEarly {
-			e.ServerNotice = one.Merge(older.AgedBy(now.Sub(older.told)))
+		if older, ok := d.pendingNotices[one.Server]; ok || len(d.pendingNotices) < maxEarlyNotices {
+			e.ServerNotice = one.Merge(older.AgedBy(now.Sub(older.receivedAt)))
 			d.pendingNotices[one.Server] = e
 		}
 	}
 }
 
-// earlyWord is what another entry told of a server at a time. Of a server whose record is not
+// earlyNotice is what another entry told of a server at a time. Of a server whose record is not
 // known yet it is kept until it is: an entry that starts is greeted before it has read any.
-type earlyWord struct {
+type earlyNotice struct {
 	runworks.ServerNotice
 	from string
-	told time.Time
+	receivedAt time.Time
 }
 
 // expired says whether the word need not be kept any more.
-func (e *earlyWord) expired(now time.Time) bool {
-	age := now.Sub(e.told)
-	return age > lapsedKept || age > runworks.EntryTimeout && !e.Draining
+func (e *earlyNotice) expired(now time.Time) bool {
+	age := now.Sub(e.receivedAt)
+	return age > expiredRetention || age > runworks.EntryTimeout && !e.Draining
 }
 
-// maxEarly bounds the words that are kept for servers that are not known: all servers of the
+// maxEarlyNotices bounds the words that are kept for servers that are not known: all servers of the
 // largest fleet. An entry that has no more room learns them from its own answers.
-const maxEarly = 4096
+const maxEarlyNotices = 4096
 
-// takeWordLocked takes what another entry told of a server.
-func (d *Dispatcher) takeWordLocked(now time.Time, s *server, e *earlyWord) {
+// applyNoticeLocked takes what another entry told of a server.
+func (d *Dispatcher) applyNoticeLocked(now time.Time, s *server, e *earlyNotice) {
 	if e.Draining {
-		d.hearLeavingLocked(s, e.from)
+		d.applyDrainingLocked(s, e.from)
 	}
 	if e.Limit != nil {
-		at := e.told.Add(-time.Duration(e.LimitAgeMs) * time.Millisecond)
-		d.takeLimitLocked(now, s, e.Limit, at, e.from)
+		at := e.receivedAt.Add(-time.Duration(e.LimitAgeMs) * time.Millisecond)
+		d.applyPeerLimitLocked(now, s, e.Limit, at, e.from)
 	}
 }
 
-// takeEarlyLocked takes what was told of servers that are known now, and forgets what was told
+// applyEarlyLocked takes what was told of servers that are known now, and forgets what was told
 // of those that did not come.
-func (d *Dispatcher) takeEarlyLocked(now time.Time) {
+func (d *Dispatcher) applyEarlyLocked(now time.Time) {
 	for life, e := range d.pendingNotices {
 		if s := d.servers[life]; s != nil {
-			d.takeWordLocked(now, s, &e)
+			d.applyNoticeLocked(now, s, &e)
 			delete(d.pendingNotices, life)
 		} else if e.expired(now) {
 			delete(d.pendingNotices, life)
@@ -69,8 +69,8 @@
 	}
 }
 
-// tellWord has the others told of a server's words.
-func (d *Dispatcher) tellWord(notice runworks.ServerNotice) {
+// sendNotice has the others told of a server's words.
+func (d *Dispatcher) sendNotice(notice runworks.ServerNotice) {
 	if d.SendServerNotice != nil {
 		d.SendServerNotice(notice)
 	}
@@ -83,17 +83,17 @@
 	now := time.Now()
 	var out []runworks.ServerNotice
 	for _, s := range d.servers {
-		one := runworks.ServerNotice{Server: s.life}
+		one := runworks.ServerNotice{Server: s.incarnation}
 		if word, _ := s.limit.Reported(); word.Named {
 			one = s.limitNotice(now)
 		}
-		one.Draining = s.leaving
+		one.Draining = s.draining
 		if one.Draining || one.Limit != nil {
 			out = append(out, one)
 		}
 	}
 	for life, one := range d.expiredReports {
-		if one.leaving {
+		if one.draining {
 			out = append(out, runworks.ServerNotice{Server: life, Draining: true})
 		}
 	}
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -7,17 +7,17 @@
 	"github.com/runworks/runworks/services/serverlimit"
 )
 
-// words are what the life of a server said of itself: in its answers, and in its record that it
+// reportState are what the life of a server said of itself: in its answers, and in its record that it
 // leaves. They stand beside its newest record, and neither takes the other's place.
-type words struct {
+type reportState struct {
 	// limit is how many requests it takes, if it says so.
 	limit serverlimit.Limit
-	// leaving says that it will end. That is final: a record that says otherwise is older.
-	leaving bool
-	// rest is when it wants nothing from this entry.
-	rest rest
-	// toldLoad is what it had to do, by its newest answer; nil is not told.
-	toldLoad *runworks.ServerLoad
+	// draining says that it will end. That is final: a record that says otherwise is older.
+	draining bool
+	// backoff is when it wants nothing from this entry.
+	backoff backoff
+	// reportedLoad is what it had to do, by its newest answer; nil is not told.
+	reportedLoad *runworks.ServerLoad
 }
 
 // ApplyReport takes what the call's server says of itself, in the answer to a request that was sent
@@ -28,26 +28,26 @@
 	defer d.mu.Unlock()
 	now := time.Now()
 	s := l.server
-	if back := d.servers[s.life]; back != nil {
+	if back := d.servers[s.incarnation]; back != nil {
 		s = back // its record may have lapsed meanwhile
 	}
-	if s.ended {
+	if s.restarted {
 		return // a life that is over
 	}
-	if word.Draining && d.hearLeavingLocked(s, "") {
-		d.tellWord(runworks.ServerNotice{Server: s.life, Draining: true})
+	if word.Draining && d.applyDrainingLocked(s, "") {
+		d.sendNotice(runworks.ServerNotice{Server: s.incarnation, Draining: true})
 	}
 	if word.Backoff > 0 {
-		d.hearRestLocked(now, s, word.Backoff)
+		d.applyBackoffLocked(now, s, word.Backoff)
 	}
 	if word.Limit != nil {
-		d.hearLimitLocked(now, s, word.Limit, sent)
+		d.applyLimitLocked(now, s, word.Limit, sent)
 	}
 	if word.Load != nil {
-		s.toldLoad = word.Load
+		s.reportedLoad = word.Load
 	}
-	if d.servers[s.life] == nil {
-		d.keepLapsed(now, s)
+	if d.servers[s.incarnation] == nil {
+		d.keepExpired(now, s)
 	}
 }
 
@@ -56,28 +56,28 @@
 func (l *Lease) Unavailable() bool {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
-	return l.server.Draining || l.server.rest.asked(time.Now())
+	return l.server.Draining || l.server.backoff.active(time.Now())
 }
 
-// hearLeavingLocked takes a server's word that it will end, and says whether that is news; from
+// applyDrainingLocked takes a server's word that it will end, and says whether that is news; from
 // names the entry that told of it, empty for the server itself. What the server runs goes on,
 // and it gets nothing new, whatever its record says: that may come late by all the time that
 // the store is away, and calls that were sent meanwhile would end with the server.
-func (d *Dispatcher) hearLeavingLocked(s *server, from string) bool {
-	if s.leaving {
+func (d *Dispatcher) applyDrainingLocked(s *server, from string) bool {
+	if s.draining {
 		return false
 	}
-	s.leaving, s.Draining = true, true
+	s.draining, s.Draining = true, true
 	if d.OnDraining != nil {
 		d.OnDraining(s.Instance, from)
 	}
 	return true
 }
 
-// hearRestLocked takes a server's word that it wants nothing from this entry for a time. The
+// applyBackoffLocked takes a server's word that it wants nothing from this entry for a time. The
 // others are not told: they may be welcome there.
-func (d *Dispatcher) hearRestLocked(now time.Time, s *server, lasts time.Duration) {
-	if s.rest.ask(now, lasts) && d.OnBackoff != nil {
-		d.OnBackoff(s.Instance, s.rest.until.Sub(now))
+func (d *Dispatcher) applyBackoffLocked(now time.Time, s *server, lasts time.Duration) {
+	if s.backoff.extend(now, lasts) && d.OnBackoff != nil {
+		d.OnBackoff(s.Instance, s.backoff.until.Sub(now))
 	}
 }
--- a/services/dispatch/report_test.go
+++ b/services/dispatch/report_test.go
@@ -76,7 +76,7 @@
 		is.True(d.ServerStatuses()[0].ReportedDraining)
 
 		d.SetServers([]runworks.Instance{bornAt(100)})
-		d.servers["s0/100"].words = words{}
+		d.servers["s0/100"].reportState = reportState{}
 		back.ApplyReport(leaves, time.Now())
 		is.True(d.ServerStatuses()[0].ReportedDraining)
 
@@ -112,8 +112,8 @@
 			}
 		}
 		d.SetServers(nil)
-		time.Sleep(2 * lapsedKept)
-		d.tendLapsedLocked(time.Now())
+		time.Sleep(2 * expiredRetention)
+		d.pruneExpiredLocked(time.Now())
 		is.Equal(len(d.expiredReports), 0)
 	})
 }
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -91,14 +91,14 @@
 		}
 		got := sums(d)
 		for _, s := range d.servers {
-			s.others, s.othersReading, s.othersFailed, s.doubts = 0, 0, 0, 0
+			s.peerCalls, s.peerUnread, s.peerErrors, s.peerEjections = 0, 0, 0, 0
 		}
 		for _, load := range d.peers {
-			d.addLocked(&load, 1)
+			d.addPeerLoadLocked(&load, 1)
 		}
 		is.Equal(got, sums(d))
 		for _, s := range d.servers {
-			is.Equal(s.doubted.IsZero(), s.doubts == 0)
+			is.Equal(s.peerEjectedSince.IsZero(), s.peerEjections == 0)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 func sums(d *Dispatcher) map[string][4]int {
 	out := map[string][4]int{}
 	for id, s := range d.servers {
-		out[id] = [4]int{s.others, s.othersReading, s.othersFailed, s.doubts}
+		out[id] = [4]int{s.peerCalls, s.peerUnread, s.peerErrors, s.peerEjections}
 	}
 	return out
 }
@@ -160,12 +160,12 @@
 				d.SetPeerLoad(life(i), runworks.EntryLoad{})
 			}
 			for i := range c.needed {
-				is.True(d.servers["s0"].doubted.IsZero())
+				is.True(d.servers["s0"].peerEjectedSince.IsZero())
 				d.SetPeerLoad(life(i), runworks.EntryLoad{Ejected: []string{"s0"}})
 			}
-			is.True(!d.servers["s0"].doubted.IsZero())
+			is.True(!d.servers["s0"].peerEjectedSince.IsZero())
 			d.SetPeerLoad(life(0), runworks.EntryLoad{})
-			is.True(d.servers["s0"].doubted.IsZero())
+			is.True(d.servers["s0"].peerEjectedSince.IsZero())
 		})
 	}
 }
--- a/services/dispatch/server.go
+++ b/services/dispatch/server.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// failuresToSuspend is how many calls in a row must fail without an answer
+	// failuresToEject is how many calls in a row must fail without an answer
 	// before a backend server is left out: one may be chance.
-	failuresToSuspend = 2
-	// firstSuspension doubles with each further failure up to lastSuspension, so
+	failuresToEject = 2
+	// minEjection doubles with each further failure up to lastSuspension, so
 	// that a server that is back is used again within a few seconds.
-	firstSuspension = 250 * time.Millisecond
-	lastSuspension  = 4 * time.Second
+	minEjection = 250 * time.Millisecond
+	maxEjection  = 4 * time.Second
 	// fullPause is how long a server that turned a call away as full is left out:
 	// about the time in which one of its slots becomes free.
 	fullPause = 30 * time.Millisecond
@@ -23,71 +23,71 @@
 	// matters where calls are as short as that.
 	freeSoon        = 50 * time.Millisecond
 	freeSoonPerPeer = 2 * time.Millisecond
-	// paceWeight is the weight of the newest call in the average pace.
-	paceWeight = 0.2
+	// gapWeight is the weight of the newest call in the average pace.
+	gapWeight = 0.2
 )
 
 // server is a backend server as this entry knows it.
 type server struct {
 	runworks.Instance
-	// life is Instance.Life.
-	life string
+	// incarnation is Instance.Life.
+	incarnation string
 	// leases are those that calls of this entry hold, and ended says that the server
 	// started again since.
 	leases map[*Lease]struct{}
-	ended  bool
-	// own is how many calls of this entry it has now.
-	own int
-	// others is how many calls the other entries said they have there.
-	others int
-	// reading is how many tokens of prompts of this entry's calls it still reads, and
-	// othersReading the same of the other entries.
-	reading, othersReading int
+	restarted  bool
+	// ownCalls is how many calls of this entry it has now.
+	ownCalls int
+	// peerCalls is how many calls the other entries said they have there.
+	peerCalls int
+	// ownUnread is how many tokens of prompts of this entry's calls it still reads, and
+	// peerUnread the same of the other entries.
+	ownUnread, peerUnread int
 	// vacated is how many slots calls of this entry left of which the others do not
 	// know yet.
 	vacated int
-	// seen is the load at the last look, and since the time since which it stands.
-	seen  int
-	since time.Time
-	// failures is how many calls in a row failed without an answer.
-	failures int
-	// failed is how many calls in a row it answered by a failure, and othersFailed the
+	// lastLoad is the load at the last look, and since the time since which it stands.
+	lastLoad  int
+	loadSince time.Time
+	// unanswered is how many calls in a row failed without an answer.
+	unanswered int
+	// ownErrors is how many calls in a row it answered by a failure, and peerErrors the
 	// same at the other entries, summed.
-	failed, othersFailed int
-	// suspended is until when it is left out, if others can do the work.
-	suspended time.Time
-	// moved is set once another server was met at its address.
-	moved bool
-	// heard is when a call of this entry last got anything from it, and busy since
+	ownErrors, peerErrors int
+	// ejectedUntil is until when it is left out, if others can do the work.
+	ejectedUntil time.Time
+	// addressReused is set once another server was met at its address.
+	addressReused bool
+	// lastReceived is when a call of this entry last got anything from it, and busySince since
 	// when it has had calls of this entry all the time.
-	heard, busy time.Time
-	// wasSilent is whether it was silent at the last look.
-	wasSilent bool
-	// doubts is how many other entries leave it out, and doubted since when some do;
+	lastReceived, busySince time.Time
+	// wasUnresponsive is whether it was silent at the last look.
+	wasUnresponsive bool
+	// peerEjections is how many other entries leave it out, and doubted since when some do;
 	// zero if none does.
-	doubts  int
-	doubted time.Time
-	// full is until when it is taken to be full.
-	full time.Time
-	// pace is the average time between events in seconds; 0 is not known.
-	pace average
-	// steady is the same over more events.
-	steady average
-	// breaks is the part of its events that come after a longer pause than callers allow.
-	breaks float64
-	words
+	peerEjections  int
+	peerEjectedSince time.Time
+	// fullUntil is until when it is taken to be fullUntil.
+	fullUntil time.Time
+	// meanGap is the average time between events in seconds; 0 is not known.
+	meanGap average
+	// steadyGap is the same over more events.
+	steadyGap average
+	// lateGaps is the part of its events that come after a longer pause than callers allow.
+	lateGaps float64
+	reportState
 }
 
-func (s *server) load() int { return s.own + s.others }
+func (s *server) load() int { return s.ownCalls + s.peerCalls }
 
-// take gives a slot to a call of this entry, which holds it by a lease.
-func (s *server) take(now time.Time, lease *Lease) {
-	if s.own == 0 {
-		s.busy = now
+// addLease gives a slot to a call of this entry, which holds it by a lease.
+func (s *server) addLease(now time.Time, lease *Lease) {
+	if s.ownCalls == 0 {
+		s.busySince = now
 	}
-	s.own++
+	s.ownCalls++
 	s.limit.Consume(now)
-	s.rest.spend()
+	s.backoff.countSent()
 	s.vacated = max(s.vacated-1, 0)
 	if s.leases == nil {
 		s.leases = make(map[*Lease]struct{})
@@ -95,52 +95,52 @@
 	s.leases[lease] = struct{}{}
 }
 
-// vacate takes the slot of a call of this entry back.
-func (s *server) vacate() {
-	s.own--
+// releaseSlot takes the slot of a call of this entry back.
+func (s *server) releaseSlot() {
+	s.ownCalls--
 	s.vacated++
 }
 
-// end tells the calls of this entry that the server started again and knows nothing of
+// markRestarted tells the calls of this entry that the server started again and knows nothing of
 // them.
-func (s *server) end() {
-	s.ended = true
+func (s *server) markRestarted() {
+	s.restarted = true
 	for lease := range s.leases {
 		lease.notifyExit()
 	}
 }
 
-// room says whether the server has a free slot and its limit leaves room for a request.
-func (s *server) room(now time.Time, of *service) bool {
+// admits says whether the server has a free slot and its limit leaves admits for a request.
+func (s *server) admits(now time.Time, of *service) bool {
 	return s.hasSlot(now, of) && s.limit.Admits(now)
 }
 
 // hasSlot says whether the server has a free slot for this entry, as far as is known.
 func (s *server) hasSlot(now time.Time, of *service) bool {
-	return !s.Draining && !s.moved && !now.Before(s.full) && s.rest.room(now) && s.load() < of.capacity(s)
+	return !s.Draining && !s.addressReused && !now.Before(s.fullUntil) && s.backoff.admits(now) && s.load() < of.capacity(s)
 }
 
-// note records how a call ended; it gives how long the server is left out for it.
-func (s *server) note(now time.Time, r Result) time.Duration {
+// recordResult records how a call ended; it gives how long the server is left out for it.
+func (s *server) recordResult(now time.Time, r Result) time.Duration {
 	switch r {
 	case Served:
-		s.failures = 0
-		s.failed = 0
-		s.suspended = time.Time{}
+		s.unanswered = 0
+		s.ownErrors = 0
+		s.ejectedUntil = time.Time{}
 	case Rejected:
-		s.full = now.Add(fullPause)
+		s.fullUntil = now.Add(fullPause)
 	case Unreachable, Interrupted:
-		s.failures++
-		if r == Unreachable || s.failures >= failuresToSuspend {
-			wait := min(firstSuspension<<min(s.failures, 5), lastSuspension)
-			s.suspended = now.Add(wait)
+		s.unanswered++
+		if r == Unreachable || s.unanswered >= failuresToEject {
+			wait := min(minEjection<<min(s.unanswered, 5), maxEjection)
+			s.ejectedUntil = now.Add(wait)
 			return wait
 		}
 	case AddressReused:
-		s.moved = true
+		s.addressReused = true
 	case Failed:
-		s.failures = 0
-		s.failed++
+		s.unanswered = 0
+		s.ownErrors++
 	case Abandoned:
 	}
 	return 0
--- a/services/dispatch/server_set.go
+++ b/services/dispatch/server_set.go
@@ -32,17 +32,17 @@
 		life := one.IncarnationID()
 		s := old[life]
 		if s == nil {
-			s = &server{life: life, words: d.takeLapsed(life)}
+			s = &server{incarnation: life, reportState: d.takeExpired(life)}
 			if s.limit.Active(now) {
-				d.partLimitLocked(now, s) // the entries may have changed meanwhile
+				d.shareLimitLocked(now, s) // the entries may have changed meanwhile
 			}
 			out.Added = append(out.Added, one)
 		} else if one.Unavailable() && !s.Draining {
 			out.Withdrawn = append(out.Withdrawn, one)
 		}
-		s.leaving = s.leaving || one.Draining
+		s.draining = s.draining || one.Draining
 		s.Instance = one
-		s.Draining = one.Unavailable() || s.leaving
+		s.Draining = one.Unavailable() || s.draining
 		d.servers[life] = s
 		d.newest[one.ID] = s
 	}
@@ -55,31 +55,31 @@
 		}
 		if d.newest[s.ID] != nil {
 			out.Restarted = append(out.Restarted, s.Instance)
-			s.end()
+			s.markRestarted()
 		} else if !s.Draining {
 			out.Withdrawn = append(out.Withdrawn, s.Instance)
 		}
 		s.Draining = true
-		d.keepLapsed(now, s)
+		d.keepExpired(now, s)
 	}
-	d.regroupLocked()
-	d.takeEarlyLocked(now)
+	d.groupByServiceLocked()
+	d.applyEarlyLocked(now)
 	// What the others run counts before any call is placed.
-	d.shareLocked()
+	d.sumPeersLocked()
 	return out
 }
 
-// find gives the server that another entry names: a life, or of entries of older versions
+// findServer gives the server that another entry names: a life, or of entries of older versions
 // an id, which stands for the newest life.
-func (d *Dispatcher) find(name string) *server {
+func (d *Dispatcher) findServer(name string) *server {
 	if s := d.servers[name]; s != nil {
 		return s
 	}
 	return d.newest[name]
 }
 
-// regroupLocked deals the servers out to their services again.
-func (d *Dispatcher) regroupLocked() {
+// groupByServiceLocked deals the servers out to their services again.
+func (d *Dispatcher) groupByServiceLocked() {
 	if d.services == nil {
 		d.services = make(map[string]*service)
 	}
@@ -103,7 +103,7 @@
 	}
 	return &service{
 		name: name, waiters: make(map[runworks.RequestID]*waiter),
-		queue: reservation.Queue{MaxWaiting: maxWaiting}, permitRequests: borrowing{on: d.RequestPermits != nil},
+		queue: reservation.Queue{MaxWaiting: maxWaiting}, permitRequests: permitRequests{enabled: d.RequestPermits != nil},
 	}
 }
 
@@ -119,14 +119,14 @@
 		if s.failing(now, d.services[s.Service]) {
 			out.Ejected = append(out.Ejected, life)
 		}
-		if s.own > 0 {
-			out.Running[life] = s.own
+		if s.ownCalls > 0 {
+			out.Running[life] = s.ownCalls
 		}
-		if s.reading >= minUnreadReported {
-			out.UnreadPromptTokens[life] = s.reading
+		if s.ownUnread >= minUnreadReported {
+			out.UnreadPromptTokens[life] = s.ownUnread
 		}
-		if s.failed > 0 {
-			out.ConsecutiveFailures[life] = s.failed
+		if s.ownErrors > 0 {
+			out.ConsecutiveFailures[life] = s.ownErrors
 		}
 	}
 	slices.Sort(out.Ejected)
@@ -151,9 +151,9 @@
 	d.peers[from] = load
 	if !known {
 		delete(d.unreachable, from)
-		d.partLimitsLocked(time.Now())
+		d.shareLimitsLocked(time.Now())
 	}
-	d.exchangeLocked(&old, &load)
+	d.replacePeerLoadLocked(&old, &load)
 }
 
 // RemovePeer counts the calls of another entry as ended: it is gone.
@@ -161,8 +161,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.unreachable, from)
-	d.dropLocked(from)
-	d.partLimitsLocked(time.Now())
+	d.dropPeerLoadLocked(from)
+	d.shareLimitsLocked(time.Now())
 }
 
 // MarkPeerUnreachable counts the calls of another entry as ended that fell silent. It may still send, only
@@ -174,78 +174,78 @@
 		d.unreachable = make(map[runworks.Incarnation]time.Time)
 	}
 	d.unreachable[from] = time.Now()
-	d.dropLocked(from)
+	d.dropPeerLoadLocked(from)
 }
 
-// dropLocked counts what another entry had as over.
-func (d *Dispatcher) dropLocked(from runworks.Incarnation) {
+// dropPeerLoadLocked counts what another entry had as over.
+func (d *Dispatcher) dropPeerLoadLocked(from runworks.Incarnation) {
 	old := d.peers[from]
 	delete(d.peers, from)
-	d.exchangeLocked(&old, &runworks.EntryLoad{})
+	d.replacePeerLoadLocked(&old, &runworks.EntryLoad{})
 }
 
-// exchangeLocked counts what an entry has now in place of what it had, and uses the slots
+// replacePeerLoadLocked counts what an entry has now in place of what it had, and uses the slots
 // that this frees.
-func (d *Dispatcher) exchangeLocked(old, load *runworks.EntryLoad) {
-	d.addLocked(old, -1)
-	d.addLocked(load, 1)
+func (d *Dispatcher) replacePeerLoadLocked(old, load *runworks.EntryLoad) {
+	d.addPeerLoadLocked(old, -1)
+	d.addPeerLoadLocked(load, 1)
 	now := time.Now()
 	for _, id := range slices.Concat(old.Ejected, load.Ejected) {
-		if s := d.find(id); s != nil {
-			d.noteDoubtsLocked(now, s)
+		if s := d.findServer(id); s != nil {
+			d.notePeerEjectionsLocked(now, s)
 		}
 	}
 	for _, s := range d.services {
 		s.peers = len(d.peers)
 		if len(old.ConsecutiveFailures)+len(load.ConsecutiveFailures) > 0 {
-			d.judgeLocked(now, s)
+			d.ejectFailingLocked(now, s)
 		}
 		d.pumpLocked(s)
 	}
 }
 
-// shareLocked adds up what the other entries have at each server, and what they say
+// sumPeersLocked adds up what the other entries have at each server, and what they say
 // of it.
-func (d *Dispatcher) shareLocked() {
+func (d *Dispatcher) sumPeersLocked() {
 	now := time.Now()
 	for _, s := range d.servers {
-		s.others = 0
-		s.doubts, s.othersFailed, s.othersReading = 0, 0, 0
+		s.peerCalls = 0
+		s.peerEjections, s.peerErrors, s.peerUnread = 0, 0, 0
 	}
 	for _, load := range d.peers {
-		d.addLocked(&load, 1)
+		d.addPeerLoadLocked(&load, 1)
 	}
 	for _, s := range d.servers {
-		d.noteDoubtsLocked(now, s)
+		d.notePeerEjectionsLocked(now, s)
 	}
 	for _, s := range d.services {
 		s.peers = len(d.peers)
-		d.judgeLocked(now, s)
+		d.ejectFailingLocked(now, s)
 		d.pumpLocked(s)
 	}
 }
 
-// addLocked adds what one other entry has at each server, and says of it, as often as
+// addPeerLoadLocked adds what one other entry has at each server, and says of it, as often as
 // times says: -1 takes it back.
-func (d *Dispatcher) addLocked(load *runworks.EntryLoad, times int) {
+func (d *Dispatcher) addPeerLoadLocked(load *runworks.EntryLoad, times int) {
 	for id, n := range load.Running {
-		if s := d.find(id); s != nil {
-			s.others += times * n
+		if s := d.findServer(id); s != nil {
+			s.peerCalls += times * n
 		}
 	}
 	for id, n := range load.UnreadPromptTokens {
-		if s := d.find(id); s != nil {
-			s.othersReading += times * n
+		if s := d.findServer(id); s != nil {
+			s.peerUnread += times * n
 		}
 	}
 	for id, n := range load.ConsecutiveFailures {
-		if s := d.find(id); s != nil {
-			s.othersFailed += times * n
+		if s := d.findServer(id); s != nil {
+			s.peerErrors += times * n
 		}
 	}
 	for _, id := range load.Ejected {
-		if s := d.find(id); s != nil {
-			s.doubts += times
+		if s := d.findServer(id); s != nil {
+			s.peerEjections += times
 		}
 	}
 }
@@ -280,9 +280,9 @@
 	for _, s := range d.servers {
 		limit, _ := s.limit.Reported()
 		out = append(out, ServerStatus{
-			ID: s.ID, Generation: s.Generation, Service: s.Service, Hall: s.Hall, Slots: s.Slots, OwnCalls: s.own, PeerCalls: s.others,
-			Draining: s.Draining, EjectedUntil: s.suspended, Limit: limit, LimitShare: s.limit.Share().PerSecond,
-			ReportedDraining: s.leaving, BackoffUntil: s.rest.until, ReportedLoad: s.toldLoad,
+			ID: s.ID, Generation: s.Generation, Service: s.Service, Hall: s.Hall, Slots: s.Slots, OwnCalls: s.ownCalls, PeerCalls: s.peerCalls,
+			Draining: s.Draining, EjectedUntil: s.ejectedUntil, Limit: limit, LimitShare: s.limit.Share().PerSecond,
+			ReportedDraining: s.draining, BackoffUntil: s.backoff.until, ReportedLoad: s.reportedLoad,
 		})
 	}
 	return out
--- a/services/dispatch/start_estimate.go
+++ b/services/dispatch/start_estimate.go
@@ -49,7 +49,7 @@
 // start before its caller disconnects.
 func (s *service) checkLateStart(now time.Time, w *waiter, ahead int) error {
 	left := w.req.lastStart().Sub(now).Seconds()
-	if w.req.Resumed && s.restsFor(now).Seconds() <= left {
+	if w.req.Resumed && s.backoffRemaining(now).Seconds() <= left {
 		return nil
 	}
 	in := s.startDelay(now, queueTier(w.req, true), ahead)
@@ -59,7 +59,7 @@
 	switch {
 	case math.IsInf(in, 1):
 		return errorx.Decorate(runworks.ErrShortage, "all servers limit their requests, and no part is this entry's")
-	case s.withheld(now):
+	case s.throttled(now):
 		return errorx.Decorate(runworks.ErrShortage, "all servers rest or limit their requests, for some %.0f ms, the caller leaves in %.0f ms", in*1000, left*1000)
 	}
 	return errorx.Decorate(runworks.ErrShortage, "%d late calls wait ahead for some %.0f ms, the caller leaves in %.0f ms", ahead, in*1000, left*1000)
@@ -83,7 +83,7 @@
 // not late yet are checked too while all servers back off.
 func (s *service) prune(now time.Time) {
 	var waiting []*waiter
-	backoff := s.restsFor(now) > 0
+	backoff := s.backoffRemaining(now) > 0
 	for _, w := range s.waiters {
 		if w.late || backoff {
 			waiting = append(waiting, w)
@@ -110,8 +110,8 @@
 // startDelay returns in how many seconds a call of a tier with ahead calls before it starts. It
 // is 0 for the first call where nothing but a slot is needed, and while too little is known.
 func (s *service) startDelay(now time.Time, tier, ahead int) float64 {
-	if s.withheld(now) {
-		return s.withheldStart(now, s.startShare(tier), ahead)
+	if s.throttled(now) {
+		return s.throttledStart(now, s.startShare(tier), ahead)
 	}
 	rate := s.startRate() * s.startShare(tier)
 	if ahead == 0 || rate == 0 {
@@ -128,7 +128,7 @@
 	}
 	own := 0
 	for _, one := range s.servers {
-		own += one.own
+		own += one.ownCalls
 	}
 	return float64(own) / float64(s.duration)
 }
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// withheld says whether a server's own word keeps calls from it now.
-func (s *server) withheld(now time.Time) bool {
-	return !s.limit.Admits(now) || s.rest.asked(now)
+// throttled says whether a server's own word keeps calls from it now.
+func (s *server) throttled(now time.Time) bool {
+	return !s.limit.Admits(now) || s.backoff.active(now)
 }
 
-// withheld says whether what all servers that calls of a service may go to say of themselves
+// throttled says whether what all servers that calls of a service may go to say of themselves
 // tells when calls start, and not how long calls keep their slots.
-func (s *service) withheld(now time.Time) bool {
+func (s *service) throttled(now time.Time) bool {
 	n := 0
 	for _, one := range s.servers {
 		if one.Draining {
 			continue
 		}
-		if !one.limit.Active(now) && !one.rest.asked(now) {
+		if !one.limit.Active(now) && !one.backoff.active(now) {
 			return false
 		}
 		n++
@@ -26,18 +26,18 @@
 	return n > 0
 }
 
-// withheldStart is in how many seconds a call starts here that has so many ahead, where all
+// throttledStart is in how many seconds a call starts here that has so many ahead, where all
 // servers have limits or rest; infinite if this entry has no part of any limit and is not
 // likely to be lent one.
-func (s *service) withheldStart(now time.Time, share float64, ahead int) float64 {
+func (s *service) throttledStart(now time.Time, share float64, ahead int) float64 {
 	soonest, rate, lends := math.Inf(1), 0.0, false
 	for _, one := range s.servers {
 		if one.Draining {
 			continue
 		}
-		soonest = min(soonest, max(one.limit.Wait(now), one.rest.wait(now)))
+		soonest = min(soonest, max(one.limit.Wait(now), one.backoff.wait(now)))
 		rate += one.limit.Share().PerSecond
-		lends = lends || !one.rest.asked(now)
+		lends = lends || !one.backoff.active(now)
 	}
 	if lends && s.permitRequests.likely(now, ahead) {
 		return 0
@@ -54,21 +54,21 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s := d.services[service]; s != nil {
-		return s.restsFor(time.Now())
+		return s.backoffRemaining(time.Now())
 	}
 	return 0
 }
 
-func (s *service) restsFor(now time.Time) time.Duration {
+func (s *service) backoffRemaining(now time.Time) time.Duration {
 	soonest := time.Duration(0)
 	for _, one := range s.servers {
 		if one.Draining {
 			continue
 		}
-		if !one.rest.asked(now) {
+		if !one.backoff.active(now) {
 			return 0
 		}
-		if left := one.rest.until.Sub(now); soonest == 0 || left < soonest {
+		if left := one.backoff.until.Sub(now); soonest == 0 || left < soonest {
 			soonest = left
 		}
 	}
--- a/services/dispatch/turn.go
+++ b/services/dispatch/turn.go
@@ -98,8 +98,8 @@
 // unusedTurns returns how many turns passed since the server's load changed. So many more
 // entries may use a slot of it, as those before them did not.
 func (s *server) unusedTurns(now time.Time, turn time.Duration) int {
-	if load := s.load(); load != s.seen || s.since.IsZero() {
-		s.seen, s.since = load, now
+	if load := s.load(); load != s.lastLoad || s.loadSince.IsZero() {
+		s.lastLoad, s.loadSince = load, now
 	}
-	return int(now.Sub(s.since) / turn)
+	return int(now.Sub(s.loadSince) / turn)
 }
--- a/services/forward/abort.go
+++ b/services/forward/abort.go
@@ -6,32 +6,32 @@
 	"github.com/runworks/runworks"
 )
 
-// AbortPending ends all calls that have no answer yet, near the end of a planned stop: each
-// gets a final one, where the end would cut its connection without a word. Answers that
-// have begun go on.
+// AbortPending ends all calls without a response, near the end of a planned stop. Each gets a final
+// response, where the exit of the process would only close its connection. Responses that have
+// begun continue.
 func (f *Forwarder) AbortPending() {
-	f.prepare()
-	f.end()
+	f.initAbort()
+	f.abort()
 }
 
-func (f *Forwarder) prepare() {
-	f.once.Do(func() { f.ending, f.end = context.WithCancel(context.Background()) })
+func (f *Forwarder) initAbort() {
+	f.abortOnce.Do(func() { f.abortCtx, f.abort = context.WithCancel(context.Background()) })
 }
 
-// untilGivenUp gives a context that GiveUp ends, unless answered was called before.
-func (f *Forwarder) untilGivenUp(ctx context.Context) (out context.Context, answered func() bool, cancel context.CancelFunc) {
-	f.prepare()
-	out, giveUp := context.WithCancelCause(ctx)
-	answered = context.AfterFunc(f.ending, func() { giveUp(runworks.ErrStopping) })
-	return out, answered, func() {
-		answered()
-		giveUp(nil)
+// withAbort returns a context that AbortPending cancels, unless detach has been called before.
+func (f *Forwarder) withAbort(ctx context.Context) (out context.Context, detach func() bool, cancel context.CancelFunc) {
+	f.initAbort()
+	out, abort := context.WithCancelCause(ctx)
+	detach = context.AfterFunc(f.abortCtx, func() { abort(runworks.ErrStopping) })
+	return out, detach, func() {
+		detach()
+		abort(nil)
 	}
 }
 
-// over says why the call is given up on; nil if it is not.
-func (c *call) over(ctx context.Context) error {
-	if c.f.ending.Err() != nil {
+// abortCause returns why the call is aborted; nil if it is not.
+func (c *call) abortCause(ctx context.Context) error {
+	if c.f.abortCtx.Err() != nil {
 		return runworks.ErrStopping
 	}
 	return context.Cause(ctx)
--- a/services/forward/answer.go
+++ b/services/forward/answer.go
@@ -14,48 +14,49 @@
 	"github.com/runworks/runworks/services/dispatch"
 )
 
-// maxHeldAnswer bounds an answer that is read whole before its head is passed
-// on, so that one that breaks off can be replaced.
-const maxHeldAnswer = 256 << 10
+// maxBufferedBody is the size in bytes up to which a response is read whole before its head is
+// passed on, so that a response that breaks off can be replaced by a retry.
+const maxBufferedBody = 256 << 10
 
-// answer turns a backend server's reply into the caller's. It gives the slot
-// back at the answer's end.
-func (c *call) answer(ctx context.Context, lease *dispatch.Lease, reply *runworks.ServerReply) (*runworks.Reply, *runworks.Failure) {
+// handleReply turns a backend server's reply into the caller's. It releases the slot at the end of
+// the response body.
+func (c *call) handleReply(ctx context.Context, lease *dispatch.Lease, reply *runworks.ServerReply) (*runworks.Reply, *runworks.Failure) {
 	c.firstByte = time.Now()
 	metrics.Observe(c.f.Metrics.FirstByteSeconds, time.Since(c.in.Received).Seconds(), metrics.Rank(c.rank))
 	if c.route.Kind == runworks.CallStream && reply.Status < 300 {
-		s := &stream{call: c, ctx: ctx, lease: lease, body: reply.Body, begun: c.firstByte}
+		s := &stream{call: c, ctx: ctx, lease: lease, body: reply.Body, answeredAt: c.firstByte}
 		return &runworks.Reply{Status: reply.Status, Header: reply.Header, Body: s}, nil
 	}
-	return c.whole(ctx, lease, reply)
+	return c.bufferReply(ctx, lease, reply)
 }
 
-// whole reads an answer to its end before it is passed on.
-func (c *call) whole(ctx context.Context, lease *dispatch.Lease, reply *runworks.ServerReply) (*runworks.Reply, *runworks.Failure) {
-	data, err := io.ReadAll(io.LimitReader(reply.Body, maxHeldAnswer))
-	if err == nil && len(data) == maxHeldAnswer {
-		rest := &tail{call: c, lease: lease, status: reply.Status, head: bytes.NewReader(data), body: reply.Body}
-		return &runworks.Reply{Status: reply.Status, Header: reply.Header, Body: rest}, nil
+// bufferReply reads the response body to its end before passing it on. One longer than
+// maxBufferedBody is streamed.
+func (c *call) bufferReply(ctx context.Context, lease *dispatch.Lease, reply *runworks.ServerReply) (*runworks.Reply, *runworks.Failure) {
+	data, err := io.ReadAll(io.LimitReader(reply.Body, maxBufferedBody))
+	if err == nil && len(data) == maxBufferedBody {
+		body := &prefixedBody{call: c, lease: lease, status: reply.Status, prefix: bytes.NewReader(data), rest: reply.Body}
+		return &runworks.Reply{Status: reply.Status, Header: reply.Header, Body: body}, nil
 	}
 	_ = reply.Body.Close()
 	if err != nil {
-		lease.Release(c.endOf(ctx, time.Now(), dispatch.Interrupted))
-		c.noteEnd(ctx, lease.Instance, time.Time{})
-		return c.again(ctx, c.broken(ctx, err), nil)
+		lease.Release(c.resultOrAbandoned(ctx, time.Now(), dispatch.Interrupted))
+		c.recordInterruption(ctx, lease.Instance, time.Time{})
+		return c.retryOrReturn(ctx, c.interruptedFailure(ctx, err), nil)
 	}
 	reply.Header.Set("Content-Length", strconv.Itoa(len(data)))
 	out := &runworks.Reply{Status: reply.Status, Header: reply.Header, Body: io.NopCloser(bytes.NewReader(data))}
 	lease.Release(resultOf(reply.Status))
 	if reply.Status >= 500 {
-		return c.again(ctx, nil, out)
+		return c.retryOrReturn(ctx, nil, out)
 	}
-	c.noteAnswered()
+	c.recordAnswer()
 	c.finish(runworks.OutcomeDone, reply.Status, nil)
 	return out, nil
 }
 
-// resultOf says what an answer tells of its server. One that says that the time was
-// over speaks against nobody.
+// resultOf returns the dispatch result for a response status. 504 does not count against the
+// server: the caller's time was over.
 func resultOf(status int) dispatch.Result {
 	if status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout {
 		return dispatch.Failed
@@ -63,10 +64,10 @@
 	return dispatch.Served
 }
 
-// again tries a call that ran and failed once more, if it may; else it gives the
-// failure, or the server's own answer.
-func (c *call) again(ctx context.Context, failure *runworks.Failure, own *runworks.Reply) (*runworks.Reply, *runworks.Failure) {
-	if c.mayTryAgain(ctx, nil) {
+// retryOrReturn retries a call that ran and failed, if it may be retried. Otherwise it returns the
+// failure or own, the server's own error response.
+func (c *call) retryOrReturn(ctx context.Context, failure *runworks.Failure, own *runworks.Reply) (*runworks.Reply, *runworks.Failure) {
+	if c.mayRetry(ctx, nil) {
 		metrics.Count(c.f.Metrics.Retries, metrics.Result(string(runworks.OutcomeFailed)))
 		reply, second := c.serve(ctx)
 		if second == nil || own == nil {
@@ -80,36 +81,36 @@
 	return nil, failure
 }
 
-// tail is an answer too long to be held: what was read, and what comes.
-type tail struct {
+// prefixedBody is a response body too long to buffer: the prefix already read, then the rest.
+type prefixedBody struct {
 	call   *call
 	lease  *dispatch.Lease
 	status int
-	head   *bytes.Reader
-	body   io.ReadCloser
-	end    error
+	prefix *bytes.Reader
+	rest   io.ReadCloser
+	err    error
 }
 
 // Read implements io.Reader.
-func (t *tail) Read(p []byte) (int, error) {
-	if t.head.Len() > 0 {
-		return t.head.Read(p)
+func (t *prefixedBody) Read(p []byte) (int, error) {
+	if t.prefix.Len() > 0 {
+		return t.prefix.Read(p)
 	}
-	n, err := t.body.Read(p)
-	t.end = err
+	n, err := t.rest.Read(p)
+	t.err = err
 	return n, err
 }
 
 // Close implements io.Closer.
-func (t *tail) Close() error {
-	_ = t.body.Close()
-	if errors.Is(t.end, io.EOF) {
+func (t *prefixedBody) Close() error {
+	_ = t.rest.Close()
+	if errors.Is(t.err, io.EOF) {
 		t.lease.Release(dispatch.Served)
-		t.call.noteAnswered()
+		t.call.recordAnswer()
 		t.call.finish(runworks.OutcomeDone, t.status, nil)
 		return nil
 	}
 	t.lease.Release(dispatch.Abandoned)
-	t.call.finish(runworks.OutcomeUnknown, t.status, t.end)
+	t.call.finish(runworks.OutcomeUnknown, t.status, t.err)
 	return nil
 }
--- a/services/forward/backoff_test.go
+++ b/services/forward/backoff_test.go
@@ -14,10 +14,10 @@
 	"github.com/runworks/runworks"
 )
 
-// TestServerLeavesMeanwhile takes a call to another server if its own says that it leaves while
-// the call waits for a connection: that is no repeat, and costs no budget. If none is left, the
-// caller is told that the call was not run, and when to come back.
-func TestServerLeavesMeanwhile(t *testing.T) {
+// TestServerDrainsBeforeSend checks that a call moves to another server if its own starts draining
+// while the call waits for a connection. The move is no retry and does not use the budget. If no
+// server is left, the call fails as not run, with a Retry-After estimate.
+func TestServerDrainsBeforeSend(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -48,40 +48,41 @@
 	}
 }
 
-// resting turns a call away and asks for rest.
-var resting = reply{status: 503, notRun: true, word: runworks.ServerReport{Backoff: 10 * time.Second}}
+// backingOff rejects a call and asks for a back-off.
+var backingOff = reply{status: 503, notRun: true, report: runworks.ServerReport{Backoff: 10 * time.Second}}
 
-// TestAllServersRest asks each server once, and then refuses calls at once, as not run; callers
-// are told when the first of them takes calls again, spread. Then they are served, and so is
-// one that comes shortly before.
-func TestAllServersRest(t *testing.T) {
+// TestAllServersBackOff checks that each server is asked once, and that further calls then fail
+// immediately as not run, with the spread end of the first back-off as Retry-After. Calls are
+// served after the back-off, and so is one that arrives shortly before its end and can wait for it.
+func TestAllServersBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{replies: []reply{resting, resting, resting, good}}
+		s := &sender{replies: []reply{backingOff, backingOff, backingOff, good}}
 		f := newForwarder(t, s, io.Discard)
 		began := time.Now()
 		for range 3 {
 			_, _, err := serve(context.Background(), f, "stream")
 			failure := failureOf(is, err)
 			is.Equal(failure.Outcome, runworks.OutcomeNotRun)
-			is.True(failure.RetryAfter >= resting.word.Backoff)
-			is.True(failure.RetryAfter < resting.word.Backoff+time.Second)
+			is.True(failure.RetryAfter >= backingOff.report.Backoff)
+			is.True(failure.RetryAfter < backingOff.report.Backoff+time.Second)
 			is.Equal(len(s.sends), 3)
 			is.Equal(time.Since(began), time.Duration(0))
 		}
-		time.Sleep(resting.word.Backoff - 2*time.Second)
+		time.Sleep(backingOff.report.Backoff - 2*time.Second)
 		_, _, err := serve(context.Background(), f, "stream")
 		is.NoErr(err)
-		is.True(time.Since(began) >= resting.word.Backoff)
+		is.True(time.Since(began) >= backingOff.report.Backoff)
 	})
 }
 
-// TestReturnAfterARestIsSpread tells those whom the rest of all servers kept out to come back
-// after it ends, and not all in the same moment.
-func TestReturnAfterARestIsSpread(t *testing.T) {
+// TestRetryAfterBackoffIsSpread checks that callers refused during a back-off of all servers get a
+// Retry-After past its end, and not all the same one: together they would overload the first
+// server.
+func TestRetryAfterBackoffIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newForwarder(t, &sender{replies: []reply{resting}}, io.Discard)
+		f := newForwarder(t, &sender{replies: []reply{backingOff}}, io.Discard)
 		_, _, err := serve(context.Background(), f, "stream")
 		is.True(errors.Is(err, runworks.ErrRejected))
 		ends := f.Dispatcher.BackoffRemaining("app")
@@ -90,8 +91,8 @@
 		for range calls {
 			_, _, err := serve(context.Background(), f, "stream")
 			late := failureOf(is, err).RetryAfter - ends
-			is.True(late >= 0 && late < retryOpenSpread)
-			parts[late*time.Duration(len(parts))/retryOpenSpread]++
+			is.True(late >= 0 && late < retryKnownTimeSpread)
+			parts[late*time.Duration(len(parts))/retryKnownTimeSpread]++
 		}
 		for _, n := range parts {
 			is.True(n < calls/2)
@@ -99,13 +100,13 @@
 	})
 }
 
-// TestSomeRest sends neither a repeat nor a stream that goes on to a server that asked for rest,
-// and costs callers nothing as long as another serves.
-func TestSomeRest(t *testing.T) {
+// TestSomeServersBackOff checks that neither a retry nor a resumed stream goes to a server in
+// back-off, and that callers see no failure while another server takes calls.
+func TestSomeServersBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		failed := reply{status: 500}
-		s := &sender{replies: []reply{resting, good, events, rest, failed, good, good}}
+		s := &sender{replies: []reply{backingOff, good, brokenStream, restOfStream, failed, good, good}}
 		f := newForwarder(t, s, io.Discard)
 		for _, name := range []string{"once", "resumable", "safe", "once"} {
 			_, _, err := serve(context.Background(), f, name)
--- a/services/forward/budgets.go
+++ b/services/forward/budgets.go
@@ -7,27 +7,26 @@
 	"github.com/runworks/runworks/services/retry"
 )
 
-// Budgets bound, for each service, how often this entry sends calls once more;
-// set the exported fields before use.
+// Budgets bounds this entry's retries for each service. Set the exported fields before use.
 type Budgets struct {
-	// Ratio is the part of a retry that each call earns.
+	// Ratio is the number of retries that each call adds to the budget.
 	Ratio float64
 	// Slack is how many retries all entries together may make beyond that in a Window.
 	Slack float64
-	// Started is when this entry began, and Window the span over which retries are
-	// counted. An entry saves up none of the slack until it has lived through one: its
-	// last life may have spent it, and each restart would let it be spent once more (five
-	// lives of one of two entries spent 100 retries of 10, in a test).
+	// Started is when this entry started, and Window the span over which retries are counted. The
+	// entry gets its share of the slack only after one Window: its previous incarnation may have
+	// used it, and each restart would allow it again. Without this, five incarnations of one of two
+	// entries made 100 retries where 10 were allowed.
 	Started time.Time
 	Window  time.Duration
 
 	mu       sync.Mutex
-	opened   bool
+	filled   bool
 	entries  int
 	services map[string]*retry.Budget
 }
 
-// SetEntries tells how many entries share the slack, this one included.
+// SetEntries sets the number of entries that share the slack, this one included.
 func (b *Budgets) SetEntries(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,57 +34,58 @@
 		return
 	}
 	b.entries = n
-	for _, one := range b.services {
-		one.SetMax(b.part())
+	for _, rb := range b.services {
+		rb.SetMax(b.share())
 	}
 }
 
-// Configure changes the part of a retry that calls earn, and the slack.
+// Configure changes Ratio and Slack.
 func (b *Budgets) Configure(ratio, slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Ratio, b.Slack = ratio, slack
-	for _, one := range b.services {
-		one.SetRatio(ratio)
-		one.SetMax(b.part())
+	for _, rb := range b.services {
+		rb.SetRatio(ratio)
+		rb.SetMax(b.share())
 	}
 }
 
-// part is this entry's part of the slack.
-func (b *Budgets) part() float64 { return b.Slack / float64(max(b.entries, 1)) }
+// share returns this entry's share of the slack.
+func (b *Budgets) share() float64 { return b.Slack / float64(max(b.entries, 1)) }
 
-// RecordCall notes a call for a service.
-func (b *Budgets) RecordCall(service string) { b.of(service).Deposit() }
+// RecordCall adds a call's share of a retry to the service's budget.
+func (b *Budgets) RecordCall(service string) { b.budget(service).Deposit() }
 
-// TakeRetry takes one retry at a service, if there is one left.
-func (b *Budgets) TakeRetry(service string) bool { return b.of(service).TryWithdraw() }
+// TakeRetry takes one retry from the service's budget and reports whether there was one.
+func (b *Budgets) TakeRetry(service string) bool { return b.budget(service).TryWithdraw() }
 
-func (b *Budgets) of(service string) *retry.Budget {
+func (b *Budgets) budget(service string) *retry.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.open()
-	one := b.services[service]
-	if one == nil {
+	b.fillAfterWindow()
+	rb := b.services[service]
+	if rb == nil {
 		if b.services == nil {
 			b.services = make(map[string]*retry.Budget)
 		}
-		one = &retry.Budget{Ratio: b.Ratio}
-		one.SetMax(b.part())
-		if b.opened {
-			one.Fill()
+		rb = &retry.Budget{Ratio: b.Ratio}
+		rb.SetMax(b.share())
+		if b.filled {
+			rb.Fill()
 		}
-		b.services[service] = one
+		b.services[service] = rb
 	}
-	return one
+	return rb
 }
 
-// open saves up this entry's part of the slack once it has lived through a window.
-func (b *Budgets) open() {
-	if b.opened || time.Since(b.Started) < b.Window {
+// fillAfterWindow fills the budgets with this entry's share of the slack once it has run for a
+// Window.
+func (b *Budgets) fillAfterWindow() {
+	if b.filled || time.Since(b.Started) < b.Window {
 		return
 	}
-	b.opened = true
-	for _, one := range b.services {
-		one.Fill()
+	b.filled = true
+	for _, rb := range b.services {
+		rb.Fill()
 	}
 }
--- a/services/forward/budgets_test.go
+++ b/services/forward/budgets_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// TestNewLifeHasNothingSaved starts one of two entries again and again: all its lives
-// together must not spend more retries than its part of the slack, as each would else
-// open it anew.
-func TestNewLifeHasNothingSaved(t *testing.T) {
+// TestRestartDoesNotRefillSlack restarts one of two entries several times. All its incarnations
+// together must not make more retries than its share of the slack; without the wait for a Window,
+// each would get the share again.
+func TestRestartDoesNotRefillSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		spent := 0
@@ -24,7 +24,7 @@
 		}
 		for range 5 {
 			b := &Budgets{Ratio: 0.2, Slack: 20, Started: time.Now(), Window: 10 * time.Second}
-			spend(b) // before it heard of the other entry
+			spend(b) // before it knows of the other entry
 			b.SetEntries(2)
 			spend(b)
 			time.Sleep(time.Second)
@@ -34,9 +34,9 @@
 	})
 }
 
-// TestSlackOpensAfterAWindow saves an entry's part of the slack up once what its last
-// life spent has left the window, also for services that it met before.
-func TestSlackOpensAfterAWindow(t *testing.T) {
+// TestSlackIsFilledAfterWindow checks that an entry gets its share of the slack once the retries of
+// its previous incarnation have left the window, also for services it already knows.
+func TestSlackIsFilledAfterWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := &Budgets{Ratio: 0.2, Slack: 20, Started: time.Now(), Window: 10 * time.Second}
@@ -53,12 +53,12 @@
 	})
 }
 
-// TestBudgetBoundsRetries turns every call away: what is sent again stays inside
-// the budget.
+// TestBudgetBoundsRetries checks that the retries of calls that are all rejected stay within the
+// budget.
 func TestBudgetBoundsRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{replies: []reply{turnedAway}}
+		s := &sender{replies: []reply{rejected}}
 		f := newForwarder(t, s, io.Discard)
 		f.Budgets = &Budgets{Ratio: 0.2, Slack: 20}
 		f.Budgets.SetEntries(4)
@@ -73,12 +73,12 @@
 	})
 }
 
-// TestUnreachableServersCostNoBudget goes on to a server that lives although none of
-// the budget is left: what never left is no repeat.
+// TestUnreachableServersCostNoBudget checks that a call reaches a working server with an empty
+// budget: an attempt that was never sent is no retry.
 func TestUnreachableServersCostNoBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{replies: []reply{unreached, unreached, good}}
+		s := &sender{replies: []reply{unreachable, unreachable, good}}
 		f := newForwarder(t, s, io.Discard)
 		f.Budgets = &Budgets{}
 		_, data, err := serve(t.Context(), f, "once")
--- a/services/forward/dispatch_request.go
+++ b/services/forward/dispatch_request.go
@@ -8,9 +8,9 @@
 	"github.com/runworks/runworks/services/dispatch"
 )
 
-// ask says what the call wants of the dispatcher. An answer that broke off asks with the
-// pause that its caller allows as its target.
-func (c *call) ask() *dispatch.Request {
+// dispatchRequest returns the call's request to the dispatcher. A resumed stream has the route's
+// longest pause, counted from the last event, as its target.
+func (c *call) dispatchRequest() *dispatch.Request {
 	target := c.deadline
 	switch {
 	case !c.lastEvent.IsZero():
@@ -21,19 +21,19 @@
 	return &dispatch.Request{
 		ID: c.in.ID, Service: c.service, Rank: c.rank, RouteRank: c.route.Rank, Customer: c.customerName(),
 		PromptTokens: c.in.PromptTokens, MaxTokens: c.in.MaxTokens, ExpectedTokens: c.in.ExpectedTokens,
-		Resumed: !c.lastEvent.IsZero(), Retry: c.ran > 0, MaxGap: c.route.MaxGap, Target: target, CallerTimeout: c.patience(), Deadline: c.deadline, Exclude: slices.Clone(c.tried),
+		Resumed: !c.lastEvent.IsZero(), Retry: c.ran > 0, MaxGap: c.route.MaxGap, Target: target, CallerTimeout: c.callerTimeout(), Deadline: c.deadline, Exclude: slices.Clone(c.tried),
 	}
 }
 
-// patience is when a caller leaves that saw nothing of a stream; zero for calls
-// that are no stream.
-func (c *call) patience() time.Time {
+// callerTimeout returns when a caller that has received nothing new of its stream is expected to
+// disconnect; zero for calls that are not streams.
+func (c *call) callerTimeout() time.Time {
 	if c.route.Kind != runworks.CallStream {
 		return time.Time{}
 	}
-	gap := max(minPatience, targetPatience*c.route.Target, gapPatience*c.route.MaxGap)
+	wait := max(minCallerTimeout, callerTimeoutTargets*c.route.Target, callerTimeoutGaps*c.route.MaxGap)
 	if !c.lastEvent.IsZero() {
-		return c.lastEvent.Add(gap)
+		return c.lastEvent.Add(wait)
 	}
-	return c.in.Received.Add(gap)
+	return c.in.Received.Add(wait)
 }
--- a/services/forward/forward_test.go
+++ b/services/forward/forward_test.go
@@ -26,30 +26,30 @@
 	"github.com/runworks/runworks/services/route"
 )
 
-// reply is what the fake sender does with one send.
+// reply is the fake sender's result for one send.
 type reply struct {
-	err    error
-	status int
-	notRun bool
-	gone   bool
-	// body is given whole, or up to broken if that is set.
+	err           error
+	status        int
+	notRun        bool
+	addressReused bool
+	// body is sent whole, or up to an error if broken is set.
 	body   string
 	broken error
-	// hang waits for the end of the call.
+	// hang waits for the end of the call's context.
 	hang bool
-	// ended says that the server's process is gone afterwards.
-	ended bool
-	// word is what the server says of itself, and wordErr what of it can't be read.
-	word    runworks.ServerReport
-	wordErr error
+	// exited reports that the server's process has exited afterwards.
+	exited bool
+	// report is the server report, and reportErr the error of an invalid one.
+	report    runworks.ServerReport
+	reportErr error
 }
 
-// sender is a fake that answers the sends in turn.
+// sender is a fake that returns its replies in turn.
 type sender struct {
 	replies []reply
 	sends   []runworks.Send
-	// connected is told of a server once there is a connection to it, before a byte is sent;
-	// nil tells nobody.
+	// connected is called with the server once there is a connection, before a byte is sent; may be
+	// nil.
 	connected func(server runworks.Instance)
 }
 
@@ -75,26 +75,26 @@
 	if end == nil {
 		end = io.EOF
 	}
-	body := io.NopCloser(io.MultiReader(strings.NewReader(r.body), &failing{end}))
+	body := io.NopCloser(io.MultiReader(strings.NewReader(r.body), &errReader{end}))
 	status := r.status
 	if status == 0 {
 		status = http.StatusOK
 	}
-	return &runworks.ServerReply{Reply: runworks.Reply{Status: status, Header: http.Header{}, Body: body}, NotRun: r.notRun, AddressReused: r.gone, Report: r.word, ReportErr: r.wordErr}, nil
+	return &runworks.ServerReply{Reply: runworks.Reply{Status: status, Header: http.Header{}, Body: body}, NotRun: r.notRun, AddressReused: r.addressReused, Report: r.report, ReportErr: r.reportErr}, nil
 }
 
-// WatchExit implements runworks.Sender for the server that was sent to last.
+// WatchExit implements runworks.Sender for the server of the last send.
 func (s *sender) WatchExit(_ context.Context, _ runworks.Instance, ended func()) {
-	if s.replies[min(len(s.sends), len(s.replies))-1].ended {
+	if s.replies[min(len(s.sends), len(s.replies))-1].exited {
 		ended()
 	}
 }
 
-// failing ends a body with an error.
-type failing struct{ err error }
+// errReader returns an error at the end of a body.
+type errReader struct{ err error }
 
 // Read implements io.Reader.
-func (f *failing) Read([]byte) (int, error) { return 0, f.err }
+func (f *errReader) Read([]byte) (int, error) { return 0, f.err }
 
 var errReset = errors.New("reset")
 
@@ -117,7 +117,7 @@
 	return r
 }
 
-// threeServers gives servers whose ids begin alike.
+// threeServers returns servers whose IDs have a common prefix.
 func threeServers(prefix string) []runworks.Instance {
 	var list []runworks.Instance
 	for i := range 3 {
@@ -126,7 +126,7 @@
 	return list
 }
 
-// failureOf gives the failure in an error, which must hold one.
+// failureOf returns the failure in err, which must hold one.
 func failureOf(is *is.I, err error) *runworks.Failure {
 	is.Helper()
 	var failure *runworks.Failure
@@ -134,7 +134,7 @@
 	return failure
 }
 
-// newForwarder builds one with three servers and a logger that writes to out.
+// newForwarder returns a forwarder with three servers and a logger that writes to out.
 func newForwarder(t *testing.T, s *sender, out io.Writer) *Forwarder {
 	t.Helper()
 	set, err := metrics.New()
@@ -152,7 +152,7 @@
 	return f
 }
 
-// serve sends one call and gives the whole answer.
+// serve sends one call and reads the whole response.
 func serve(ctx context.Context, f *Forwarder, name string) (*runworks.Reply, string, error) {
 	in := &runworks.Inbound{ID: "1", Method: http.MethodPost, Host: "h", Path: "/" + name + "/x", Target: "/" + name + "/x", Received: time.Now()}
 	res, err := f.Serve(ctx, in)
@@ -165,19 +165,19 @@
 }
 
 var (
-	turnedAway = reply{status: 503, notRun: true}
-	moved      = reply{status: 421, gone: true}
-	unreached  = reply{err: errorx.Decorate(runworks.ErrNotDispatched, "refused")}
-	lost       = reply{err: errorx.Decorate(runworks.ErrBackend, "reset")}
-	failed     = reply{status: 500, body: "sorry"}
-	good       = reply{body: "good"}
-	cut        = reply{body: "go", broken: errReset}
-	events     = reply{body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", broken: errReset}
-	rest       = reply{body: "id: 3\ndata: c\n\n"}
+	rejected     = reply{status: 503, notRun: true}
+	moved        = reply{status: 421, addressReused: true}
+	unreachable  = reply{err: errorx.Decorate(runworks.ErrNotDispatched, "refused")}
+	lost         = reply{err: errorx.Decorate(runworks.ErrBackend, "reset")}
+	failed       = reply{status: 500, body: "sorry"}
+	good         = reply{body: "good"}
+	truncated    = reply{body: "go", broken: errReset}
+	brokenStream = reply{body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", broken: errReset}
+	restOfStream = reply{body: "id: 3\ndata: c\n\n"}
 )
 
-// TestAttempts sends calls of each kind to servers that fail in each way: what may
-// run once is sent again only on proof that it did not run.
+// TestAttempts sends calls of each kind to servers that fail in each way: a call that must not run
+// twice is retried only if it is certain that it did not run.
 func TestAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -188,21 +188,21 @@
 		body    string
 		outcome runworks.Outcome
 	}{
-		{"turned away, then served", "once", []reply{turnedAway, good}, 2, 200, "good", ""},
-		{"another server there, then served", "once", []reply{moved, good}, 2, 200, "good", ""},
-		{"out of reach, then served", "once", []reply{unreached, good}, 2, 200, "good", ""},
-		{"turned away everywhere", "once", []reply{turnedAway}, 3, 0, "", runworks.OutcomeNotRun},
+		{"rejected, then served", "once", []reply{rejected, good}, 2, 200, "good", ""},
+		{"address reused, then served", "once", []reply{moved, good}, 2, 200, "good", ""},
+		{"unreachable, then served", "once", []reply{unreachable, good}, 2, 200, "good", ""},
+		{"rejected everywhere", "once", []reply{rejected}, 3, 0, "", runworks.OutcomeNotRun},
 		{"lost: may have run", "once", []reply{lost, good}, 1, 0, "", runworks.OutcomeUnknown},
-		{"cut in its answer", "once", []reply{cut, good}, 1, 0, "", runworks.OutcomeUnknown},
-		{"its own failure is passed on", "once", []reply{failed, good}, 1, 500, "sorry", ""},
-		{"turned away, then lost", "once", []reply{turnedAway, lost, good}, 2, 0, "", runworks.OutcomeUnknown},
+		{"truncated response", "once", []reply{truncated, good}, 1, 0, "", runworks.OutcomeUnknown},
+		{"server's failure is passed on", "once", []reply{failed, good}, 1, 500, "sorry", ""},
+		{"rejected, then lost", "once", []reply{rejected, lost, good}, 2, 0, "", runworks.OutcomeUnknown},
 		{"repeatable and lost", "safe", []reply{lost, good}, 2, 200, "good", ""},
-		{"repeatable and cut", "safe", []reply{cut, good}, 2, 200, "good", ""},
+		{"repeatable and truncated", "safe", []reply{truncated, good}, 2, 200, "good", ""},
 		{"repeatable and failed", "safe", []reply{failed, good}, 2, 200, "good", ""},
-		{"repeatable, failed twice: its own answer", "safe", []reply{failed, lost, good}, 2, 500, "sorry", ""},
+		{"repeatable, failed twice: server's own response", "safe", []reply{failed, lost, good}, 2, 500, "sorry", ""},
 		{"no more attempts than the route allows", "safe", []reply{lost, lost, good}, 2, 0, "", runworks.OutcomeUnknown},
 		{"a stream runs once", "stream", []reply{lost, good}, 1, 0, "", runworks.OutcomeUnknown},
-		{"a resumable stream may begin again", "resumable", []reply{lost, rest}, 2, 200, rest.body, ""},
+		{"a resumable stream may run again", "resumable", []reply{lost, restOfStream}, 2, 200, restOfStream.body, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -224,9 +224,9 @@
 	}
 }
 
-// TestWaitedToTheEnd tells a caller when to come back whose call waited for a server until its
-// time was over.
-func TestWaitedToTheEnd(t *testing.T) {
+// TestTimeLimitInQueue checks that a call whose time ends while it waits for a server fails as not
+// run, with a Retry-After estimate.
+func TestTimeLimitInQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &sender{replies: []reply{{hang: true}}}
@@ -234,7 +234,7 @@
 		f.Dispatcher.SetServers(threeServers("s")[:1])
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		for range 4 { // all slots there are
+		for range 4 { // takes all slots
 			go func() { _, _, _ = serve(ctx, f, "once") }()
 			synctest.Wait()
 		}
@@ -249,8 +249,8 @@
 	})
 }
 
-// TestTimeLimit gives a call that hangs its answer at its route's time limit, and
-// tells the server no more time than is left.
+// TestTimeLimit checks that a hanging call ends at its route's timeout, and that the server gets no
+// more than the time left.
 func TestTimeLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -263,9 +263,9 @@
 	})
 }
 
-// TestSilentServer takes a call that may run again from a server that gives no
-// answer, and leaves one that runs once where it is.
-func TestSilentServer(t *testing.T) {
+// TestAnswerTimeout checks that a call that may run again is taken from a server that does not
+// respond, and that one that must run once stays there.
+func TestAnswerTimeout(t *testing.T) {
 	for _, c := range []struct {
 		route string
 		sends int
@@ -278,7 +278,7 @@
 			is.Equal(len(s.sends), c.sends)
 			if c.sends == 2 {
 				is.NoErr(err)
-				is.Equal(time.Since(began), silentTargets*time.Second)
+				is.Equal(time.Since(began), answerTimeoutTargets*time.Second)
 			} else {
 				is.True(err != nil)
 			}
@@ -286,9 +286,9 @@
 	}
 }
 
-// TestHangingServerIsLeftOut counts calls against a server that ended by their
-// callers' leaving after a long silence: one that hangs gets no more.
-func TestHangingServerIsLeftOut(t *testing.T) {
+// TestHangingServerIsEjected checks that calls whose callers leave after a long silence count
+// against the server, so that a hanging server gets no more calls.
+func TestHangingServerIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &sender{replies: []reply{{hang: true}}}
@@ -308,8 +308,8 @@
 	})
 }
 
-// TestStopping refuses streams near the end of a planned stop, as not run, and
-// takes short calls.
+// TestStopping checks that streams are refused as not run near the end of a planned stop, while
+// short calls are served.
 func TestStopping(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -323,10 +323,10 @@
 	})
 }
 
-// TestGiveUp ends calls near the end of a planned stop: one that waits did not run and is
-// told when to come back, one that runs is told that it may have, and a stream that has
-// begun goes on.
-func TestGiveUp(t *testing.T) {
+// TestAbortPending aborts calls near the end of a planned stop: a waiting one fails as not run,
+// with a Retry-After estimate; for a running one the outcome is unknown; a stream that has begun
+// continues.
+func TestAbortPending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &sender{replies: []reply{{body: "id: 1\ndata: a\n\n"}, {hang: true}}}
@@ -343,7 +343,7 @@
 				call := &runworks.Inbound{ID: runworks.RequestID(name), Host: "h", Path: "/once/x", Target: "/once/x", Received: time.Now()}
 				_, err := f.Serve(context.Background(), call)
 				var failure *runworks.Failure
-				is.True(errors.As(err, &failure)) // failureOf is for one goroutine
+				is.True(errors.As(err, &failure)) // failureOf must run in the test goroutine
 				mu.Lock()
 				defer mu.Unlock()
 				failures[name] = failure
@@ -357,7 +357,7 @@
 		is.True(failures["waits"].RetryAfter > 0)
 		is.Equal(failures["runs"].Outcome, runworks.OutcomeUnknown)
 		body, _ := begun.Body.(*stream)
-		is.NoErr(body.ctx.Err()) // it ends the way to the server with it
+		is.NoErr(body.ctx.Err()) // its end would close the connection to the server
 		data, err := io.ReadAll(begun.Body)
 		is.NoErr(err)
 		is.Equal(string(data), "id: 1\ndata: a\n\n")
@@ -365,8 +365,8 @@
 	})
 }
 
-// TestCallerLeaves ends a call whose caller left, at once.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerCancels checks that a call ends as soon as its caller leaves.
+func TestCallerCancels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &sender{replies: []reply{{hang: true}}}
@@ -379,9 +379,9 @@
 	})
 }
 
-// TestNothingKnown refuses calls as not run while no routing is known, and while
-// no server of the service is.
-func TestNothingKnown(t *testing.T) {
+// TestNoRoutingOrServer checks that calls fail as not run while there is no routing, or no server
+// of the service.
+func TestNoRoutingOrServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &sender{replies: []reply{good}}, io.Discard)
@@ -397,12 +397,12 @@
 	})
 }
 
-// TestLimitCountsWhatRan gives what a call drew on its customer's limit back when
-// the call did not run, and keeps it when it did.
-func TestLimitCountsWhatRan(t *testing.T) {
+// TestLimitCountsOnlyCallsThatRan checks that tokens of the customer's limit are released if the
+// call did not run and stay consumed if it did.
+func TestLimitCountsOnlyCallsThatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{replies: []reply{turnedAway}}
+		s := &sender{replies: []reply{rejected}}
 		f := newForwarder(t, s, io.Discard)
 		routing := testRouting()
 		routing.Customers = []runworks.RoutedCustomer{{Name: "yard", KeySHA256: []string{runworks.HashKey("k")}, TokensPerSecond: 10, TokenBurst: 20, TokensPerCall: 100}}
@@ -423,9 +423,9 @@
 	})
 }
 
-// TestReturnToALimitIsSpread tells those whom a limit refused to come back after it opens, and
-// not all in the same moment.
-func TestReturnToALimitIsSpread(t *testing.T) {
+// TestRetryAfterLimitIsSpread checks that callers refused by a limit get a Retry-After past the
+// time at which it opens, and not all the same one.
+func TestRetryAfterLimitIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &sender{replies: []reply{good}}, io.Discard)
@@ -444,8 +444,8 @@
 			_, err := f.Serve(context.Background(), &again)
 			is.True(errors.Is(err, runworks.ErrLimit))
 			late := failureOf(is, err).RetryAfter - opens
-			is.True(late >= 0 && late < retryOpenSpread)
-			parts[late*time.Duration(len(parts))/retryOpenSpread]++
+			is.True(late >= 0 && late < retryKnownTimeSpread)
+			parts[late*time.Duration(len(parts))/retryKnownTimeSpread]++
 		}
 		for _, n := range parts {
 			is.True(n < calls/2)
@@ -453,12 +453,12 @@
 	})
 }
 
-// TestOneLineForEachCall writes one line with what decided the call.
-func TestOneLineForEachCall(t *testing.T) {
+// TestOneLogLinePerCall checks that one line is logged, with what decided the call.
+func TestOneLogLinePerCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
-		s := &sender{replies: []reply{turnedAway, events, rest}}
+		s := &sender{replies: []reply{rejected, brokenStream, restOfStream}}
 		_, _, err := serve(context.Background(), newForwarder(t, s, &out), "resumable")
 		is.NoErr(err)
 		line := out.String()
@@ -471,9 +471,9 @@
 	})
 }
 
-// TestHeldUntilOpened holds a call that comes before the entry has read its state, serves
-// it once it has, and refuses one after a moment if it has not.
-func TestHeldUntilOpened(t *testing.T) {
+// TestCallWaitsUntilReady checks that a call that arrives before the entry has read its state waits
+// for it and is served, and that it fails after readyTimeout.
+func TestCallWaitsUntilReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &sender{replies: []reply{good, good}}, io.Discard)
@@ -483,7 +483,7 @@
 		began := time.Now()
 		_, _, err := serve(context.Background(), f, "once")
 		is.True(errors.Is(err, runworks.ErrNotReady))
-		is.Equal(time.Since(began), startHold)
+		is.Equal(time.Since(began), readyTimeout)
 		began = time.Now()
 		time.AfterFunc(20*time.Millisecond, func() {
 			f.Table.Store(table)
@@ -502,9 +502,9 @@
 	})
 }
 
-// TestCallerThatLeft sends nothing for a caller whose connection is closed, at first or
-// again: it is given up on as not run unless it ran before, and speaks against no server.
-func TestCallerThatLeft(t *testing.T) {
+// TestCallerDisconnected checks that nothing is sent or retried for a caller whose connection is
+// closed. The call fails as not run unless an attempt ran, and nothing counts against the servers.
+func TestCallerDisconnected(t *testing.T) {
 	for _, sends := range []int{0, 1} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -525,31 +525,31 @@
 	}
 }
 
-// TestServerThatStartedAgain ends the calls that a server had in its last life at once: one
-// that may run again goes on elsewhere, the other is told that its fate is unknown.
-func TestServerThatStartedAgain(t *testing.T) {
+// TestServerRestart checks that calls at a server end as soon as it restarts, as their state is
+// lost there: a call that may run again is retried, for the other the outcome is unknown.
+func TestServerRestart(t *testing.T) {
 	for _, name := range []string{"safe", "once", "resumable"} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			s := &sender{replies: []reply{{hang: true}, good}}
 			f := newForwarder(t, s, io.Discard)
-			lives := func(born int64) []runworks.Instance {
+			incarnation := func(born int64) []runworks.Instance {
 				return []runworks.Instance{{ID: "i", Generation: born, Service: "app", Slots: 4}}
 			}
-			f.Dispatcher.SetServers(lives(100))
+			f.Dispatcher.SetServers(incarnation(100))
 			began := time.Now()
-			time.AfterFunc(300*time.Millisecond, func() { f.Dispatcher.SetServers(lives(200)) })
+			time.AfterFunc(300*time.Millisecond, func() { f.Dispatcher.SetServers(incarnation(200)) })
 			_, text, err := serve(t.Context(), f, name)
 			is.True(time.Since(began) < 500*time.Millisecond)
 			if name != "once" {
 				is.NoErr(err)
 				is.Equal(text, "good")
-				is.Equal(s.sends[1].To.Generation, int64(200)) // the new life had nothing of it
+				is.Equal(s.sends[1].To.Generation, int64(200)) // the new incarnation does not know the call
 				return
 			}
 			failure := failureOf(is, err)
 			is.Equal(failure.Outcome, runworks.OutcomeUnknown)
-			is.True(strings.Contains(failure.Error(), errStartedAgain.Error()))
+			is.True(strings.Contains(failure.Error(), errServerRestarted.Error()))
 			is.Equal(len(s.sends), 1)
 		})
 	}
--- a/services/forward/limit_test.go
+++ b/services/forward/limit_test.go
@@ -14,10 +14,10 @@
 	"github.com/runworks/runworks"
 )
 
-// TestServersLimit takes a server's limit from any answer of its own: one that it gave, a
-// failure, and its word that it did not run the call. What can't be read leaves the limit as
-// it was and is logged, and the answer of another server at its address says nothing of it.
-func TestServersLimit(t *testing.T) {
+// TestServerRateLimit checks that a server's rate limit is taken from any response of its own: a
+// success, a failure, or a rejection. An invalid report leaves the limit as it was and is logged,
+// and the response of another server at the same address does not count.
+func TestServerRateLimit(t *testing.T) {
 	limit := runworks.RateLimit{Named: true, PerSecond: 2}
 	two := runworks.ServerReport{Limit: &limit}
 	unreadable := errors.New("no number")
@@ -27,12 +27,12 @@
 		limited bool
 		logged  bool
 	}{
-		{"a whole answer", []reply{{body: "good", word: two}}, true, false},
-		{"a failure", []reply{{status: http.StatusInternalServerError, word: two}}, true, false},
-		{"not run", []reply{{status: http.StatusServiceUnavailable, notRun: true, word: two}, good}, true, false},
+		{"a whole answer", []reply{{body: "good", report: two}}, true, false},
+		{"a failure", []reply{{status: http.StatusInternalServerError, report: two}}, true, false},
+		{"not run", []reply{{status: http.StatusServiceUnavailable, notRun: true, report: two}, good}, true, false},
 		{"none", []reply{good}, false, false},
-		{"unreadable", []reply{{body: "good", wordErr: unreadable}}, false, true},
-		{"another server's", []reply{{status: http.StatusMisdirectedRequest, gone: true, word: two}, good}, false, false},
+		{"unreadable", []reply{{body: "good", reportErr: unreadable}}, false, true},
+		{"another server's", []reply{{status: http.StatusMisdirectedRequest, addressReused: true, report: two}, good}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 					}
 				}
 				is.Equal(limited == 1, c.limited)
-				is.Equal(strings.Contains(out.String(), "what a backend server says of itself can't be read"), c.logged)
+				is.Equal(strings.Contains(out.String(), "invalid server report"), c.logged)
 			})
 		})
 	}
--- a/services/forward/log.go
+++ b/services/forward/log.go
@@ -7,7 +7,7 @@
 	"github.com/runworks/runworks/modules/metrics"
 )
 
-// finish ends a call and writes its one line: what decided it, and how it ended.
+// finish ends a call and writes its log line: what decided it, and how it ended.
 func (c *call) finish(outcome runworks.Outcome, status int, err error) {
 	c.f.active.Add(-1)
 	if c.cancel != nil {
@@ -28,11 +28,11 @@
 	if c.customer != nil {
 		fields = append(fields, "customer", c.customer.Name)
 	}
-	if c.verdict.Allowed > 0 {
-		// What a call that passed was let through on: sums of these lines over all
-		// entries show whether a limit held, and who knew of what.
-		fields = append(fields, "limit_drawn", c.verdict.Debit.Tokens(), "limit_used", c.verdict.Consumed, "limit_held", c.verdict.Reserved, "limit_assumed", c.verdict.Assumed,
-			"limit_allowed", c.verdict.Allowed, "limit_entries", c.verdict.OtherEntries)
+	if c.decision.Allowed > 0 {
+		// The figures by which the limit admitted the call: summed over the lines of all entries,
+		// they show whether a limit was kept and which entry knew what.
+		fields = append(fields, "limit_drawn", c.decision.Debit.Tokens(), "limit_used", c.decision.Consumed, "limit_held", c.decision.Reserved, "limit_assumed", c.decision.Assumed,
+			"limit_allowed", c.decision.Allowed, "limit_entries", c.decision.OtherEntries)
 	}
 	if len(c.tried) > 0 {
 		fields = append(fields, "servers", c.tried, "ran", c.ran)
--- a/services/forward/ready.go
+++ b/services/forward/ready.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// startHold is how long a call is held that comes before the entry has read its state:
-// some times what that takes, 10 to 30 ms where the store is well. Callers that wait
-// for a start reach the entry as soon as it listens; sent back, they come too late.
-const startHold = 250 * time.Millisecond
+// readyTimeout is how long a call that arrives before the entry has read its state waits for it:
+// several times the 10 to 30 ms that this takes while the store is healthy. Callers that wait for a
+// start connect as soon as the entry listens; a refused one would retry too late.
+const readyTimeout = 250 * time.Millisecond
 
-// awaitOpened holds a call for a moment that comes before the entry knows its state.
-func (f *Forwarder) awaitOpened(ctx context.Context) {
+// awaitReady waits until the entry has read its state, for at most readyTimeout.
+func (f *Forwarder) awaitReady(ctx context.Context) {
 	if f.Ready == nil {
 		return
 	}
@@ -20,11 +20,11 @@
 		return
 	default:
 	}
-	limit := time.NewTimer(startHold)
-	defer limit.Stop()
+	timer := time.NewTimer(readyTimeout)
+	defer timer.Stop()
 	select {
 	case <-f.Ready:
-	case <-limit.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
--- a/services/forward/retry_after.go
+++ b/services/forward/retry_after.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// When callers are told to come back.
+// Retry-After estimates.
 const (
 	// retryNotReady is about the time that an entry needs to read its state.
 	retryNotReady = time.Second
-	// retryNotReadySpread keeps those who came too early from coming back all at once.
+	// retryNotReadySpread spreads the retries of callers that came before the entry was ready.
 	retryNotReadySpread = 300 * time.Millisecond
-	// retryOpenSpread keeps those who are told when a limit opens, or a rest ends, from coming
-	// back all in that moment: many times what entries need to hear of each other's calls.
-	retryOpenSpread = 500 * time.Millisecond
-	// retryShort and retrySpread bound the wait after a shortage: a burst lasts a
-	// few seconds, and those who come back must not make the next one.
-	retryShort  = 1500 * time.Millisecond
-	retrySpread = 2500 * time.Millisecond
-	// retryPart is the part of a caller's time left, as a divisor, that it waits
-	// before it comes back.
-	retryPart = 3
-	// retryTurnedAway is some times the time in which a slot becomes free.
-	retryTurnedAway = 200 * time.Millisecond
+	// retryKnownTimeSpread spreads the retries of callers that are given the time at which a limit
+	// opens or a back-off ends. It is many times what entries need to learn of each other's calls.
+	retryKnownTimeSpread = 500 * time.Millisecond
+	// retryNoCapacity and retryNoCapacitySpread bound the wait after a call found no capacity: a
+	// burst lasts a few seconds, and the retries must not form the next one.
+	retryNoCapacity       = 1500 * time.Millisecond
+	retryNoCapacitySpread = 2500 * time.Millisecond
+	// retryTimeLeftDivisor bounds that wait to a fraction of the caller's time left.
+	retryTimeLeftDivisor = 3
+	// retryRejected is several times the time in which a slot becomes free.
+	retryRejected = 200 * time.Millisecond
 )
 
-// retryAfter is when a caller is to come back that found all servers taken: after
-// some bursts' length, spread, and inside the part of its time that it will wait. One whose
-// time is over comes back with another call.
+// retryAfter returns the Retry-After estimate for a call that found no capacity: the length of a
+// burst, spread, and at most a fraction of the caller's time left. A caller whose time is over
+// retries with a new call, so the bound does not apply.
 func (c *call) retryAfter() time.Duration {
-	wait := retryShort + rand.N(retrySpread)
-	if part := time.Until(c.deadline) / retryPart; part > 0 {
-		wait = min(wait, part)
+	wait := retryNoCapacity + rand.N(retryNoCapacitySpread)
+	if bound := time.Until(c.deadline) / retryTimeLeftDivisor; bound > 0 {
+		wait = min(wait, bound)
 	}
-	return c.restOr(wait)
+	return c.backoffOr(wait)
 }
 
-// restOr is when a caller is to come back if all servers rest, and else what is given: before
-// the first of them takes calls it would find none, and all at once would find it full.
-func (c *call) restOr(otherwise time.Duration) time.Duration {
-	if rests := c.f.Dispatcher.BackoffRemaining(c.service); rests > 0 {
-		return rests + rand.N(retryOpenSpread)
+// backoffOr returns the time until the first server's back-off ends, spread, if all servers have
+// one, and otherwise the given estimate. A caller that retried sooner would find no server, and all
+// of them at once would find the first one full.
+func (c *call) backoffOr(estimate time.Duration) time.Duration {
+	if wait := c.f.Dispatcher.BackoffRemaining(c.service); wait > 0 {
+		return wait + rand.N(retryKnownTimeSpread)
 	}
-	return otherwise
+	return estimate
 }
--- a/services/forward/server_exit.go
+++ b/services/forward/server_exit.go
@@ -9,46 +9,47 @@
 	"github.com/runworks/runworks/modules/metrics"
 )
 
-// freshRun is how long after its first event an answer that breaks off may still speak
-// against its call: a request that ends servers does so as its run begins, while one that
-// has run for seconds only shared the server with it.
-const freshRun = 500 * time.Millisecond
+// attributionWindow is the time after its first event within which a broken response may be
+// attributed to its request. A request that makes servers exit does so as it begins to run; one
+// that has run for seconds only shared the server with it.
+const attributionWindow = 500 * time.Millisecond
 
-// held is for how much longer the call's request is kept from the servers; 0 if it is not.
-// While no request is a suspect, nothing is reckoned.
-func (c *call) held(now time.Time) time.Duration {
+// quarantinedFor returns for how much longer the call's request is quarantined; 0 if it is not. The
+// fingerprint is not computed while there are no suspects.
+func (c *call) quarantinedFor(now time.Time) time.Duration {
 	if c.f.Quarantine.Empty() {
 		return 0
 	}
 	return c.f.Quarantine.HeldFor(now, c.fingerprint())
 }
 
-// noteAnswered records that the call had a whole answer.
-func (c *call) noteAnswered() {
+// recordAnswer clears the request of earlier exits after a complete response.
+func (c *call) recordAnswer() {
 	c.f.Quarantine.RecordAnswer(time.Now(), c.fingerprint())
 }
 
-// noteEnd looks whether the server that a call's answer was broken off by has ended, and
-// puts the blame on the call if its run was fresh. First is when the server gave its first
-// event, zero if none came.
-func (c *call) noteEnd(ctx context.Context, server runworks.Instance, first time.Time) {
+// recordInterruption watches for the exit of the server whose response broke off, and attributes an exit
+// to the request if it had only begun to run. first is the time of the server's first event; zero
+// if none came.
+func (c *call) recordInterruption(ctx context.Context, server runworks.Instance, first time.Time) {
 	if ctx.Err() != nil {
-		return // the caller or the clock broke it off
+		return // the caller or the deadline ended it
 	}
-	fresh := first.IsZero() || time.Since(first) < freshRun
-	end := &serverEnd{call: c, server: server, events: c.events, fresh: fresh, fingerprint: c.fingerprint()}
-	if errors.Is(context.Cause(c.sending), errStartedAgain) {
-		end.note()
+	fresh := first.IsZero() || time.Since(first) < attributionWindow
+	exit := &serverExit{call: c, server: server, events: c.events, fresh: fresh, fingerprint: c.fingerprint()}
+	if errors.Is(context.Cause(c.attemptCtx), errServerRestarted) {
+		exit.record()
 		return
 	}
 	if fresh {
-		c.f.Quarantine.RecordDisconnect(time.Now(), end.fingerprint, server.IncarnationID())
+		c.f.Quarantine.RecordDisconnect(time.Now(), exit.fingerprint, server.IncarnationID())
 	}
-	c.f.Sender.WatchExit(ctx, server, end.note)
+	c.f.Sender.WatchExit(ctx, server, exit.record)
 }
 
-// serverEnd is the end of a backend server under a call, as it was when the answer broke off.
-type serverEnd struct {
+// serverExit is a backend server's exit during a call, with the call's state when the response
+// broke off.
+type serverExit struct {
 	call        *call
 	server      runworks.Instance
 	events      int
@@ -56,26 +57,26 @@
 	fingerprint runworks.Fingerprint
 }
 
-// note tells of the end, and puts the blame on the call.
-func (e *serverEnd) note() {
+// record counts and logs the exit and attributes it to the request if that had only begun to run.
+func (e *serverExit) record() {
 	c := e.call
 	metrics.Count(c.f.Metrics.ServerEnds, metrics.Rank(c.rank))
-	c.f.Logger.Warn("backend server ended under a call", "server", e.server.IncarnationID(), "service", c.service, "request", c.in.ID,
+	c.f.Logger.Warn("backend server exited during a call", "server", e.server.IncarnationID(), "service", c.service, "request", c.in.ID,
 		"fingerprint", e.fingerprint, "customer", c.customerName(), "events", e.events, "fresh", e.fresh)
 	if e.fresh {
 		c.f.Quarantine.AttributeExit(time.Now(), e.fingerprint, e.server.IncarnationID())
 	}
 }
 
-// fingerprint is the call's, reckoned when it is first asked for.
+// fingerprint returns the request's fingerprint. It is computed on first use.
 func (c *call) fingerprint() runworks.Fingerprint {
-	if c.print == "" {
-		c.print = c.in.Fingerprint(c.customerName())
+	if c.cachedFingerprint == "" {
+		c.cachedFingerprint = c.in.Fingerprint(c.customerName())
 	}
-	return c.print
+	return c.cachedFingerprint
 }
 
-// customerName is who asks; empty if nobody is known.
+// customerName returns the customer's name; empty if the customer is unknown.
 func (c *call) customerName() string {
 	if c.customer == nil {
 		return ""
--- a/services/forward/server_exit_test.go
+++ b/services/forward/server_exit_test.go
@@ -18,18 +18,18 @@
 	"github.com/runworks/runworks/services/quarantine"
 )
 
-// TestEndIsTold writes a line with the call's fingerprint where its server ended under it,
-// before or after an event, and none where only the connection broke.
-func TestEndIsTold(t *testing.T) {
+// TestServerExitIsLogged checks that a server's exit during a call is logged with the call's
+// fingerprint, before and after an event, and that a broken connection alone is not.
+func TestServerExitIsLogged(t *testing.T) {
 	for _, one := range []struct {
 		name   string
 		route  string
 		first  reply
 		fields []string
 	}{
-		{"before the head", "once", reply{err: lost.err, ended: true}, []string{`"events":0`, `"fresh":true`}},
-		{"in a whole answer", "once", reply{body: "par", broken: errReset, ended: true}, []string{`"events":0`, `"fresh":true`}},
-		{"after an event", "stream", reply{body: "id: 1\n\n", broken: errReset, ended: true}, []string{`"events":1`, `"fresh":true`}},
+		{"before the head", "once", reply{err: lost.err, exited: true}, []string{`"events":0`, `"fresh":true`}},
+		{"in a whole answer", "once", reply{body: "par", broken: errReset, exited: true}, []string{`"events":0`, `"fresh":true`}},
+		{"after an event", "stream", reply{body: "id: 1\n\n", broken: errReset, exited: true}, []string{`"events":1`, `"fresh":true`}},
 		{"only the connection", "stream", reply{body: "id: 1\n\n", broken: errReset}, nil},
 	} {
 		t.Run(one.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				_, _, err := serve(context.Background(), f, one.route)
 				is.True(err != nil)
 				line, _, _ := strings.Cut(out.String(), "\n")
-				is.Equal(strings.Contains(line, "backend server ended under a call"), one.fields != nil)
+				is.Equal(strings.Contains(line, "backend server exited during a call"), one.fields != nil)
 				for _, want := range append(one.fields, `"request":"1"`) {
 					is.True(strings.Contains(line, want))
 				}
@@ -49,43 +49,45 @@
 	}
 }
 
-// ending ends its server before an event.
-var ending = reply{err: lost.err, ended: true}
+// exiting makes its server exit before an event.
+var exiting = reply{err: lost.err, exited: true}
 
-// holding is a forwarder that holds a request after three ends.
-func holding(t *testing.T, s *sender) *Forwarder {
+// newQuarantiningForwarder returns a forwarder that quarantines a request after three exits.
+func newQuarantiningForwarder(t *testing.T, s *sender) *Forwarder {
 	t.Helper()
 	f := newForwarder(t, s, io.Discard)
 	f.Quarantine = &quarantine.Quarantine{ExitThreshold: 3, Duration: time.Hour}
 	return f
 }
 
-// startAnew puts new servers in the place of those that there are.
-func startAnew(f *Forwarder, n int) {
+// replaceServers replaces all servers by new ones.
+func replaceServers(f *Forwarder, n int) {
 	f.Dispatcher.SetServers(threeServers(fmt.Sprintf("n%d-", n)))
 }
 
-// TestRequestIsHeld sends a request that ends servers to three of them, and refuses it from
-// then on as not run, with the time for which it is held; others go on.
-func TestRequestIsHeld(t *testing.T) {
+// TestRequestIsQuarantined checks that a request that makes servers exit reaches three of them and
+// is then refused as not run, with the time left in quarantine as Retry-After, while other requests
+// are served.
+func TestRequestIsQuarantined(t *testing.T) {
 	for _, one := range []struct {
 		route string
-		// calls are sent before it is held; those that may run again go on by themselves.
+		// calls is the number of calls until the quarantine; a repeatable one reaches several
+		// servers.
 		calls int
 	}{{"once", 3}, {"stream", 3}, {"safe", 2}, {"resumable", 2}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			s := &sender{replies: []reply{ending}}
-			f := holding(t, s)
+			s := &sender{replies: []reply{exiting}}
+			f := newQuarantiningForwarder(t, s)
 			for n := range one.calls {
-				startAnew(f, n)
+				replaceServers(f, n)
 				_, _, err := serve(context.Background(), f, one.route)
 				failure := failureOf(is, err)
-				is.Equal(failure.Outcome, runworks.OutcomeUnknown) // it ran
+				is.Equal(failure.Outcome, runworks.OutcomeUnknown) // the call may have run
 			}
 			is.Equal(len(s.sends), 3)
 			time.Sleep(time.Minute)
-			f.Dispatcher.SetServers(nil) // it is refused before it asks for a server
+			f.Dispatcher.SetServers(nil) // the call is refused before it needs a server
 			_, _, err := serve(context.Background(), f, one.route)
 			failure := failureOf(is, err)
 			is.True(errors.Is(err, runworks.ErrQuarantined))
@@ -93,7 +95,7 @@
 			is.Equal(failure.RetryAfter, 59*time.Minute)
 			is.Equal(len(s.sends), 3)
 			s.replies = []reply{good}
-			startAnew(f, one.calls)
+			replaceServers(f, one.calls)
 			in := &runworks.Inbound{ID: "2", Method: http.MethodPost, Host: "h", Path: "/safe/y", Target: "/safe/y", Received: time.Now()}
 			_, err = f.Serve(context.Background(), in)
 			is.NoErr(err)
@@ -101,13 +103,13 @@
 	}
 }
 
-// TestHeldWhileItWaits does not send a request that was let in and is held as its turn comes:
-// it has no answer yet, and speaks against no server.
-func TestHeldWhileItWaits(t *testing.T) {
+// TestQuarantinedWhileWaiting checks that an admitted request that is quarantined while it waits is
+// not sent. It has no response yet, and nothing counts against the servers.
+func TestQuarantinedWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &sender{replies: []reply{good}}
-		f := holding(t, s)
+		f := newQuarantiningForwarder(t, s)
 		in := &runworks.Inbound{ID: "1", Method: http.MethodPost, Host: "h", Path: "/once/x", Target: "/once/x", Received: time.Now()}
 		in.CallerDisconnected = func() bool {
 			for _, server := range []string{"a", "b", "c"} {
@@ -128,18 +130,18 @@
 	})
 }
 
-// TestAnswerClears forgets the ends of servers that a request only shared with another, once
-// it has a whole answer; an answer that says that the server failed is none.
-func TestAnswerClears(t *testing.T) {
+// TestAnswerClearsExits checks that a complete response clears a request of exits that it only
+// shared with another. A response that reports a failure of the server does not.
+func TestAnswerClearsExits(t *testing.T) {
 	for _, one := range []struct {
 		route string
 		last  reply
 		clear bool
-	}{{"safe", good, true}, {"resumable", rest, true}, {"once", failed, false}} {
+	}{{"safe", good, true}, {"resumable", restOfStream, true}, {"once", failed, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			s := &sender{replies: []reply{ending}}
-			f := holding(t, s)
+			s := &sender{replies: []reply{exiting}}
+			f := newQuarantiningForwarder(t, s)
 			_, _, err := serve(context.Background(), f, one.route)
 			is.True(err != nil)
 			is.True(len(f.Quarantine.Reports(time.Now())) > 0)
@@ -151,19 +153,19 @@
 	}
 }
 
-// TestOldRunIsNotBlamed puts no blame on an answer that had run for a while as its server
-// ended.
-func TestOldRunIsNotBlamed(t *testing.T) {
+// TestLongRunIsNotAttributed checks that an exit is not attributed to a request that had run for a
+// while.
+func TestLongRunIsNotAttributed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := holding(t, &sender{replies: []reply{{body: "id: 1\n\n", broken: errReset, ended: true}}})
+		f := newQuarantiningForwarder(t, &sender{replies: []reply{{body: "id: 1\n\n", broken: errReset, exited: true}}})
 		in := &runworks.Inbound{ID: "1", Method: http.MethodPost, Host: "h", Path: "/stream/x", Target: "/stream/x", Received: time.Now()}
 		res, err := f.Serve(context.Background(), in)
 		is.NoErr(err)
 		event := make([]byte, len("id: 1\n\n"))
 		_, err = io.ReadFull(res.Body, event)
 		is.NoErr(err)
-		time.Sleep(freshRun)
+		time.Sleep(attributionWindow)
 		_, err = res.Body.Read(event)
 		is.True(err != nil)
 		is.NoErr(res.Body.Close())
@@ -171,15 +173,15 @@
 	})
 }
 
-// TestRecordTellsTheEnd holds a request that servers broke off without being seen to end,
-// once they are gone; one whose answer had run for a while is not among those.
-func TestRecordTellsTheEnd(t *testing.T) {
+// TestRemovedServerCountsAsExited checks that a request is quarantined once the servers that broke
+// it off have been removed, although their exits were not observed.
+func TestRemovedServerCountsAsExited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &sender{replies: []reply{lost}}
-		f := holding(t, s)
+		f := newQuarantiningForwarder(t, s)
 		for n := range 3 {
-			startAnew(f, n)
+			replaceServers(f, n)
 			_, _, err := serve(context.Background(), f, "once")
 			is.True(err != nil)
 			is.Equal(len(f.Quarantine.Reports(time.Now())) > 0, n > 0)
@@ -189,7 +191,7 @@
 				f.Quarantine.ServerRemoved(time.Now(), one.IncarnationID())
 			}
 		}
-		startAnew(f, 3)
+		replaceServers(f, 3)
 		_, _, err := serve(context.Background(), f, "once")
 		is.True(errors.Is(err, runworks.ErrQuarantined))
 		is.Equal(len(s.sends), 3)
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -13,173 +13,172 @@
 )
 
 const (
-	// streamChunk is how much of a stream is read at once.
-	streamChunk = 4 << 10
-	// maxEvent bounds one event of a stream.
+	// streamReadSize is the size of a read from a stream, in bytes.
+	streamReadSize = 4 << 10
+	// maxEvent bounds one event of a stream, in bytes.
 	maxEvent = 1 << 20
 )
 
-// eventEnd ends an event of a stream.
 var eventEnd = []byte("\n\n")
 
-// errEventTooLong says that a stream holds an event beyond maxEvent.
-var errEventTooLong = errors.New("an event of the stream is too long")
+// errEventTooLong is returned if an event is longer than maxEvent.
+var errEventTooLong = errors.New("stream event exceeds the size limit")
 
-// stream is the body of a streamed answer. It passes on whole events only, so
-// that another server can take a broken stream up behind the last of them.
+// stream is the body of a streamed response. It passes on whole events only, so that another server
+// can resume a broken stream after the last of them.
 type stream struct {
 	call  *call
 	ctx   context.Context
 	lease *dispatch.Lease
 	body  io.ReadCloser
 
-	// chunk is what is read into. It and the two below are used again: an event leaves 208
-	// bytes of garbage in place of 4,435 (BenchmarkEvent of package platform).
-	chunk []byte
-	// ready are whole events that were not given to Read yet; part is the begin
-	// of the next one.
-	ready bytes.Buffer
-	part  []byte
-	// lastEvent is the id of the last whole event.
-	lastEvent string
-	// firstAt and lastAt are when this server gave its first and its last event; zero before
+	// readBuf is the read buffer. It, pending and partial are reused: an event then leaves 208
+	// bytes of garbage instead of 4,435 (BenchmarkEvent of package platform).
+	readBuf []byte
+	// pending are whole events that Read has not returned yet; partial is the beginning of the next
+	// one.
+	pending bytes.Buffer
+	partial []byte
+	// lastEventID is the id of the last whole event.
+	lastEventID string
+	// firstEventAt and lastEventAt are when this server's first and last event arrived; zero before
 	// its first.
-	firstAt, lastAt time.Time
-	// begun is when this server began to answer.
-	begun  time.Time
-	end    error
-	closed bool
+	firstEventAt, lastEventAt time.Time
+	// answeredAt is when this server's response began.
+	answeredAt time.Time
+	err        error
+	closed     bool
 }
 
-// Read implements io.Reader; io.EOF is only given behind a whole answer.
+// Read implements io.Reader. It returns io.EOF only after a complete response.
 func (s *stream) Read(p []byte) (int, error) {
-	for s.ready.Len() == 0 {
-		if s.end != nil {
-			return 0, s.end
+	for s.pending.Len() == 0 {
+		if s.err != nil {
+			return 0, s.err
 		}
 		s.fill()
 	}
-	return s.ready.Read(p)
+	return s.pending.Read(p)
 }
 
-// fill reads from the server until an event is whole or the stream ends.
+// fill reads from the server until an event is complete or the stream ends.
 func (s *stream) fill() {
-	if s.chunk == nil {
-		s.chunk = make([]byte, streamChunk)
+	if s.readBuf == nil {
+		s.readBuf = make([]byte, streamReadSize)
 	}
-	n, err := s.body.Read(s.chunk)
-	s.take(s.chunk[:n])
+	n, err := s.body.Read(s.readBuf)
+	s.splitEvents(s.readBuf[:n])
 	switch {
 	case errors.Is(err, io.EOF):
-		// What stands behind the last event is part of a whole answer.
-		s.ready.Write(s.part)
-		s.part = nil
-		s.end = io.EOF
+		// Data after the last event is part of a complete response.
+		s.pending.Write(s.partial)
+		s.partial = nil
+		s.err = io.EOF
 	case err != nil:
-		s.part = nil
-		s.end = s.resume(err)
-	case len(s.part) > maxEvent:
-		s.end = errEventTooLong
+		s.partial = nil
+		s.err = s.resume(err)
+	case len(s.partial) > maxEvent:
+		s.err = errEventTooLong
 	}
 }
 
-// take moves whole events to what is ready.
-func (s *stream) take(data []byte) {
-	s.part = append(s.part, data...)
-	i := bytes.LastIndex(s.part, eventEnd)
+// splitEvents moves the whole events of data to pending.
+func (s *stream) splitEvents(data []byte) {
+	s.partial = append(s.partial, data...)
+	i := bytes.LastIndex(s.partial, eventEnd)
 	if i < 0 {
 		return
 	}
-	whole := s.part[:i+len(eventEnd)]
+	whole := s.partial[:i+len(eventEnd)]
 	for _, event := range bytes.SplitAfter(whole, eventEnd) {
 		if len(event) > 0 {
-			s.note(event)
+			s.recordEvent(event)
 		}
 	}
-	s.ready.Write(whole)
-	s.part = append(s.part[:0], s.part[i+len(eventEnd):]...)
+	s.pending.Write(whole)
+	s.partial = append(s.partial[:0], s.partial[i+len(eventEnd):]...)
 }
 
-// note keeps an event's id and the time since the one before.
-func (s *stream) note(event []byte) {
+// recordEvent records an event's id and the time since the previous one.
+func (s *stream) recordEvent(event []byte) {
 	for _, line := range bytes.Split(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			s.lastEvent = string(bytes.TrimSpace(value))
+			s.lastEventID = string(bytes.TrimSpace(value))
 		}
 	}
 	now := time.Now()
-	if s.lastAt.IsZero() {
-		s.firstAt = now
+	if s.lastEventAt.IsZero() {
+		s.firstEventAt = now
 		s.lease.RecordFirstEvent(s.call.in.PromptTokens)
 	} else {
-		pause := now.Sub(s.lastAt)
+		pause := now.Sub(s.lastEventAt)
 		s.lease.RecordEventGap(pause)
 		s.call.longestPause = max(s.call.longestPause, pause)
 	}
 	s.call.events++
 	s.call.lastEvent = now
-	s.lastAt = now
+	s.lastEventAt = now
 }
 
-// lastHeard is when the server gave something last.
-func (s *stream) lastHeard() time.Time {
-	if s.lastAt.IsZero() {
-		return s.begun
+// lastReceivedAt returns when the server last sent something.
+func (s *stream) lastReceivedAt() time.Time {
+	if s.lastEventAt.IsZero() {
+		return s.answeredAt
 	}
-	return s.lastAt
+	return s.lastEventAt
 }
 
-// resume goes on with a broken stream at another server; it gives nil if the
-// stream goes on, else why it ends here.
-func (s *stream) resume(broke error) error {
+// resume continues a broken stream at another server. It returns nil if the stream continues, and
+// otherwise the error with which it ends.
+func (s *stream) resume(cause error) error {
 	c := s.call
 	_ = s.body.Close()
-	s.lease.Release(c.endOf(s.ctx, s.lastHeard(), dispatch.Interrupted))
-	c.noteEnd(s.ctx, s.lease.Instance, s.firstAt)
+	s.lease.Release(c.resultOrAbandoned(s.ctx, s.lastReceivedAt(), dispatch.Interrupted))
+	c.recordInterruption(s.ctx, s.lease.Instance, s.firstEventAt)
 	for {
-		if !c.route.Resumable || !c.mayTryAgain(s.ctx, broke) {
-			return c.broken(s.ctx, broke)
+		if !c.route.Resumable || !c.mayRetry(s.ctx, cause) {
+			return c.interruptedFailure(s.ctx, cause)
 		}
 		metrics.Count(c.f.Metrics.Resumes)
 		lease, failure := c.acquire(s.ctx)
 		if failure != nil {
 			return failure
 		}
-		reply, failure := c.attempt(s.ctx, lease, s.lastEvent)
+		reply, failure := c.attempt(s.ctx, lease, s.lastEventID)
 		if failure != nil {
-			broke = failure
+			cause = failure
 			continue
 		}
 		s.lease = lease
 		if reply.Status < 300 {
-			s.body, s.begun = reply.Body, time.Now()
-			s.firstAt, s.lastAt = time.Time{}, time.Time{}
+			s.body, s.answeredAt = reply.Body, time.Now()
+			s.firstEventAt, s.lastEventAt = time.Time{}, time.Time{}
 			return nil
 		}
 		_ = reply.Body.Close()
 		lease.Release(dispatch.Served)
-		broke = runworks.ErrBackend
+		cause = runworks.ErrBackend
 	}
 }
 
-// Close implements io.Closer; it gives the slot back and logs the end.
+// Close implements io.Closer. It releases the slot and logs the end of the call.
 func (s *stream) Close() error {
 	if s.closed {
 		return nil
 	}
 	s.closed = true
 	_ = s.body.Close()
-	if errors.Is(s.end, io.EOF) {
+	if errors.Is(s.err, io.EOF) {
 		s.lease.RecordLength(s.call.in.ExpectedTokens, s.call.events)
 		s.lease.Release(dispatch.Served)
-		s.call.noteAnswered()
+		s.call.recordAnswer()
 		s.call.finish(runworks.OutcomeDone, 0, nil)
 	} else {
-		err := s.end
+		err := s.err
 		if err == nil {
 			err = context.Cause(s.ctx)
 		}
-		s.lease.Release(s.call.endOf(s.ctx, s.lastHeard(), dispatch.Interrupted))
+		s.lease.Release(s.call.resultOrAbandoned(s.ctx, s.lastReceivedAt(), dispatch.Interrupted))
 		s.call.finish(runworks.OutcomeUnknown, 0, err)
 	}
 	return nil
--- a/services/forward/stream_test.go
+++ b/services/forward/stream_test.go
@@ -12,12 +12,12 @@
 	"github.com/runworks/runworks"
 )
 
-// TestStreamGoesOn breaks a resumable stream inside its third event: the caller
-// gets each event once, and the second server is told the last whole one.
-func TestStreamGoesOn(t *testing.T) {
+// TestStreamIsResumed breaks a resumable stream inside its third event: the caller must get each
+// event once, and the second server the id of the last whole one.
+func TestStreamIsResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{replies: []reply{events, rest}}
+		s := &sender{replies: []reply{brokenStream, restOfStream}}
 		_, body, err := serve(context.Background(), newForwarder(t, s, io.Discard), "resumable")
 		is.NoErr(err)
 		is.Equal(body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
@@ -26,12 +26,12 @@
 	})
 }
 
-// TestStreamBreaks breaks a stream that can't be resumed: whole events only, and
-// an end that is no io.EOF.
+// TestStreamBreaks breaks a stream that can't be resumed: the caller must get whole events only,
+// and an error other than io.EOF.
 func TestStreamBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{replies: []reply{events}}
+		s := &sender{replies: []reply{brokenStream}}
 		_, body, err := serve(context.Background(), newForwarder(t, s, io.Discard), "stream")
 		is.True(err != nil)
 		is.Equal(body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n")
@@ -39,19 +39,19 @@
 	})
 }
 
-// TestBrokenStreamIsResumed asks for the next server from the last event on: its target is
-// the pause that the caller allows, and its caller's patience begins anew.
-func TestBrokenStreamIsResumed(t *testing.T) {
+// TestResumedStreamRequest checks that a resumed stream is queued with times counted from its last
+// event: its target is the pause that the caller allows, and the caller timeout restarts.
+func TestResumedStreamRequest(t *testing.T) {
 	is := is.New(t)
 	in := &runworks.Inbound{Received: time.Now().Add(-time.Minute)}
 	route := &runworks.Route{Kind: runworks.CallStream, Target: time.Second, MaxGap: 300 * time.Millisecond}
 	c := &call{in: in, route: route, deadline: time.Now().Add(time.Minute)}
-	fresh := c.ask()
+	fresh := c.dispatchRequest()
 	is.True(!fresh.Resumed)
 	is.Equal(fresh.Target, in.Received.Add(route.Target))
 	c.lastEvent = time.Now()
-	broken := c.ask()
+	broken := c.dispatchRequest()
 	is.True(broken.Resumed)
 	is.Equal(broken.Target, c.lastEvent.Add(route.MaxGap))
-	is.Equal(broken.CallerTimeout, c.lastEvent.Add(targetPatience*route.Target))
+	is.Equal(broken.CallerTimeout, c.lastEvent.Add(callerTimeoutTargets*route.Target))
 }
--- a/services/forward/suspend_test.go
+++ b/services/forward/suspend_test.go
@@ -14,10 +14,10 @@
 	"github.com/runworks/runworks"
 )
 
-// TestSuspendedHost gives servers only the time that a caller has left after the host was
-// suspended, and sends nothing once none is left.
+// TestSuspendedHost checks that servers get only the time that the caller has left after the host
+// was suspended, and that nothing is sent if none is left.
 func TestSuspendedHost(t *testing.T) {
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		lost time.Duration
 		left time.Duration
 	}{{2 * time.Second, 3 * time.Second}, {5 * time.Second, 0}} {
@@ -25,19 +25,19 @@
 			is := is.New(t)
 			s := &sender{replies: []reply{good}}
 			f := newForwarder(t, s, io.Discard)
-			f.AddSuspension(time.Hour) // before the call came
+			f.AddSuspension(time.Hour) // before the call arrived
 			in := &runworks.Inbound{ID: "1", Method: http.MethodPost, Host: "h", Path: "/once/x", Target: "/once/x", Received: time.Now()}
-			// The call is held while the host is suspended.
+			// The call waits while the host is suspended.
 			opened := make(chan struct{})
 			f.Ready = opened
 			time.AfterFunc(0, func() {
-				f.AddSuspension(one.lost)
+				f.AddSuspension(tc.lost)
 				close(opened)
 			})
 			_, err := f.Serve(context.Background(), in)
-			if one.left > 0 {
+			if tc.left > 0 {
 				is.NoErr(err)
-				is.Equal(s.sends[0].TimeLeft, one.left)
+				is.Equal(s.sends[0].TimeLeft, tc.left)
 				return
 			}
 			failure := failureOf(is, err)
