--- a/services/dispatch/backoff_press_test.go
+++ b/services/dispatch/backoff_press_test.go
@@ -48,7 +48,7 @@
 }
 
 // turnedAway has a call arrive at its server, which may turn it away.
-func (p *press) turnedAway(e *pressEntry, lease *Lease) bool {
+func (p *limitSim) turnedAway(e *simEntry, lease *Lease) bool {
 	server := lease.Instance.ID
 	key := string(e.Self) + " " + server
 	now := time.Now()
@@ -63,7 +63,7 @@
 	switch {
 	case lasts > 0:
 		p.rested++
-		p.askedFor[key] = append(p.askedFor[key], &pressRest{at: now.Add(pressWay), ends: now.Add(pressWay + lasts)})
+		p.askedFor[key] = append(p.askedFor[key], &pressRest{at: now.Add(simLatency), ends: now.Add(simLatency + lasts)})
 	case full:
 		p.found++
 	default:
@@ -73,17 +73,17 @@
 		return false
 	}
 	p.mu.Unlock()
-	time.Sleep(pressWay)
+	time.Sleep(simLatency)
 	lease.ApplyReport(&runworks.ServerReport{Backoff: lasts}, now)
 	lease.Release(Rejected)
-	if p.shares && lasts > 0 {
+	if p.sharesBackoff && lasts > 0 {
 		p.shareRest(e, server, lasts)
 	}
 	return true
 }
 
 // shareRest has all others leave a server alone that asked one entry for rest.
-func (p *press) shareRest(from *pressEntry, server string, lasts time.Duration) {
+func (p *limitSim) shareRest(from *simEntry, server string, lasts time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, to := range p.entries {
@@ -96,10 +96,10 @@
 }
 
 // left has a call leave its server.
-func (p *press) left(server string) { p.running[server]-- }
+func (p *limitSim) left(server string) { p.running[server]-- }
 
 // stepRests runs a line of a script that concerns rests; ok is false for others.
-func (p *press) stepRests(t *testing.T, step string, a *pressArgs) (out string, ok bool) {
+func (p *limitSim) stepRests(t *testing.T, step string, a *simArgs) (out string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch step {
@@ -132,7 +132,7 @@
 
 // fullLoad says whether the first of the servers, which rest no more, had their part of the
 // calls since they were last counted.
-func (p *press) fullLoad(t *testing.T, first int) string {
+func (p *limitSim) fullLoad(t *testing.T, first int) string {
 	sum, part := 0, 0
 	for i, server := range p.servers {
 		sum += p.began[server]
@@ -147,4 +147,4 @@
 
 // TestServerRests presses on servers that ask for rest in virtual time, through entries that
 // start, stand still and are cut off.
-func TestServerRests(t *testing.T) { playPress(t, "testdata/backoff") }
+func TestServerRests(t *testing.T) { runLimitSims(t, "testdata/backoff") }
--- a/services/dispatch/backoff_test.go
+++ b/services/dispatch/backoff_test.go
@@ -103,14 +103,14 @@
 		d.RequestPermits = func(*PermitTransfer) { t.Error("a loan is no use") }
 		go d.Run(t.Context())
 		asks := func(id string, target, patience time.Duration) *Request {
-			a := ask(id, 0)
+			a := newRequest(id, 0)
 			a.Target, a.CallerTimeout = time.Now().Add(target), time.Now().Add(patience)
 			return a
 		}
 		running := []*Lease{taken(t, d, "first"), taken(t, d, "second")}
 		began := time.Now()
-		waits := acquired(d, asks("waits", time.Second, 2*time.Second))
-		patient := acquired(d, asks("patient", 4*time.Second, 8*time.Second))
+		waits := acquireAsync(d, asks("waits", time.Second, 2*time.Second))
+		patient := acquireAsync(d, asks("patient", 4*time.Second, 8*time.Second))
 		rests(d, "s0", 3*time.Second)
 		is.Equal(len(waits), 0)
 		rests(d, "s1", 5*time.Second)
@@ -172,7 +172,7 @@
 				lease.Release(Served)
 			}
 		}
-		waits := acquired(d, ask("waits", 0))
+		waits := acquireAsync(d, newRequest("waits", 0))
 		is.Equal(len(waits), 0)
 		d.RequestPermits = nil
 		go d.Run(t.Context())
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -29,10 +29,12 @@
 	return list
 }
 
-// runs is the load of an entry at which nothing waits.
-func runs(calls runworks.RunningCalls) runworks.EntryLoad { return runworks.EntryLoad{Running: calls} }
+// runningLoad is the load of an entry at which nothing waits.
+func runningLoad(calls runworks.RunningCalls) runworks.EntryLoad {
+	return runworks.EntryLoad{Running: calls}
+}
 
-func ask(id string, routeRank int) *Request {
+func newRequest(id string, routeRank int) *Request {
 	now := time.Now()
 	return &Request{
 		ID: runworks.RequestID(id), Service: "llm", RouteRank: routeRank,
@@ -40,11 +42,11 @@
 	}
 }
 
-// acquired waits in the background for a server.
-func acquired(d *Dispatcher, a *Request) <-chan *Lease {
+// acquireAsync waits in the background for a server.
+func acquireAsync(d *Dispatcher, req *Request) <-chan *Lease {
 	out := make(chan *Lease, 1)
 	go func() {
-		lease, err := d.Acquire(context.Background(), a)
+		lease, err := d.Acquire(context.Background(), req)
 		if err != nil {
 			close(out)
 			return
@@ -55,28 +57,28 @@
 	return out
 }
 
-// overtakes frees the slot of a call: of two that wait, one goes before the other.
-func overtakes(t *testing.T, first *Lease, goes, waits <-chan *Lease) {
+// checkOrder frees the slot of a call: of two that wait, one goes before the other.
+func checkOrder(t *testing.T, first *Lease, ahead, behind <-chan *Lease) {
 	t.Helper()
 	is := is.New(t)
 	first.Release(Served)
-	lease := <-goes
-	is.Equal(len(waits), 0)
+	lease := <-ahead
+	is.Equal(len(behind), 0)
 	lease.Release(Served)
-	(<-waits).Release(Served)
+	(<-behind).Release(Served)
 }
 
-// TestUrgentFirst frees one slot for which calls of three ranks wait, the lowest
+// TestHighestRankFirst frees one slot for which calls of three ranks wait, the lowest
 // first in line: the highest gets it, then the next.
-func TestUrgentFirst(t *testing.T) {
+func TestHighestRankFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
-		first, err := d.Acquire(context.Background(), ask("first", 1))
+		first, err := d.Acquire(context.Background(), newRequest("first", 1))
 		is.NoErr(err)
-		low := acquired(d, ask("low", 2))
-		middle := acquired(d, ask("middle", 1))
-		high := acquired(d, ask("high", 0))
+		low := acquireAsync(d, newRequest("low", 2))
+		middle := acquireAsync(d, newRequest("middle", 1))
+		high := acquireAsync(d, newRequest("high", 0))
 		first.Release(Served)
 		lease := <-high
 		is.Equal(len(middle)+len(low), 0)
@@ -88,15 +90,15 @@
 	})
 }
 
-// TestCustomersRankGoesFirst lets the customers' ranks decide before the routes'.
-func TestCustomersRankGoesFirst(t *testing.T) {
+// TestCustomerRankBeforeRouteRank lets the customers' ranks decide before the routes'.
+func TestCustomerRankBeforeRouteRank(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		d := newDispatcher(1)
-		first := <-acquired(d, ask("first", 0))
-		later := ask("later", 0)
+		first := <-acquireAsync(d, newRequest("first", 0))
+		later := newRequest("later", 0)
 		later.Rank = 1
-		second := acquired(d, later)
-		third := acquired(d, ask("important", 2))
+		second := acquireAsync(d, later)
+		third := acquireAsync(d, newRequest("important", 2))
 		first.Release(Served)
 		lease := <-third
 		lease.Release(Served)
@@ -104,41 +106,41 @@
 	})
 }
 
-// TestLateCallsStepBack puts a call that missed its target behind one of its rank that
+// TestLateCallAfterSameRank puts a call that missed its target behind one of its rank that
 // can still meet its own.
-func TestLateCallsStepBack(t *testing.T) { lateGivesWay(t, 1) }
+func TestLateCallAfterSameRank(t *testing.T) { testLateCallOrder(t, 1) }
 
-// TestLateBehindAll puts it behind one of a lower rank, too.
-func TestLateBehindAll(t *testing.T) { lateGivesWay(t, 2) }
+// TestLateCallAfterLowerRank puts it behind one of a lower rank, too.
+func TestLateCallAfterLowerRank(t *testing.T) { testLateCallOrder(t, 2) }
 
-// lateGivesWay lets a call of rank 1 miss its target, and one of another rank come then:
+// testLateCallOrder lets a call of rank 1 miss its target, and one of another rank come then:
 // that one has the next slot.
-func lateGivesWay(t *testing.T, routeRank int) {
+func testLateCallOrder(t *testing.T, routeRank int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1)
-		first := <-acquired(d, ask("first", 1))
-		late := acquired(d, ask("late", 1))
+		first := <-acquireAsync(d, newRequest("first", 1))
+		late := acquireAsync(d, newRequest("late", 1))
 		time.Sleep(2 * time.Second)
-		fresh := acquired(d, ask("fresh", routeRank))
-		overtakes(t, first, fresh, late)
+		fresh := acquireAsync(d, newRequest("fresh", routeRank))
+		checkOrder(t, first, fresh, late)
 	})
 }
 
-// TestSlotKeptForUrgentRoutes keeps the last slot of a server from the lowest rank.
-func TestSlotKeptForUrgentRoutes(t *testing.T) {
+// TestSlotReservedFromLowestRank keeps the last slot of a server from the lowest rank.
+func TestSlotReservedFromLowestRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4)
-		urgent := <-acquired(d, ask("urgent", 0))
+		urgent := <-acquireAsync(d, newRequest("urgent", 0))
 		urgent.Release(Served)
 		var held []*Lease
 		for i := range 3 {
-			held = append(held, <-acquired(d, ask(fmt.Sprint("chat", i), 2)))
+			held = append(held, <-acquireAsync(d, newRequest(fmt.Sprint("chat", i), 2)))
 		}
-		waiting := acquired(d, ask("chat3", 2))
+		waiting := acquireAsync(d, newRequest("chat3", 2))
 		is.Equal(len(waiting), 0)
-		urgent = <-acquired(d, ask("urgent2", 0))
+		urgent = <-acquireAsync(d, newRequest("urgent2", 0))
 		is.Equal(len(waiting), 0)
 		urgent.Release(Served)
 		is.Equal(len(waiting), 0)
@@ -147,15 +149,15 @@
 	})
 }
 
-// TestAvoided does not give a call to a server that had it, and says so at once
+// TestExcludedServers does not give a call to a server that had it, and says so at once
 // where there is no other.
-func TestAvoided(t *testing.T) {
+func TestExcludedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4, 4)
-		a := ask("again", 0)
+		a := newRequest("again", 0)
 		a.Exclude = []string{"s0"}
-		lease := <-acquired(d, a)
+		lease := <-acquireAsync(d, a)
 		is.Equal(lease.Instance.ID, "s1")
 		lease.Release(Served)
 		a.Exclude = []string{"s0", "s1"}
@@ -164,8 +166,8 @@
 	})
 }
 
-// TestLeavingGetsNothing gives no call to a server that leaves or left the list.
-func TestLeavingGetsNothing(t *testing.T) {
+// TestDrainingServerGetsNoCalls gives no call to a server that leaves or left the list.
+func TestDrainingServerGetsNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4, 4)
@@ -174,15 +176,15 @@
 		left := d.SetServers(list).Withdrawn
 		is.Equal(len(left), 1)
 		for i := range 4 {
-			is.Equal((<-acquired(d, ask(fmt.Sprint(i), 0))).Instance.ID, "s1")
+			is.Equal((<-acquireAsync(d, newRequest(fmt.Sprint(i), 0))).Instance.ID, "s1")
 		}
 		d.SetServers(list)
-		away := ask("away", 0)
+		away := newRequest("away", 0)
 		away.Service = "app"
 		list = append(list, runworks.Instance{ID: "p0", Service: "app", Slots: 9, Draining: true}, runworks.Instance{ID: "p1", Service: "app", Slots: 9})
 		d.SetServers(list)
 		for range 3 { // also when the only other one can't be reached
-			lease := <-acquired(d, away)
+			lease := <-acquireAsync(d, away)
 			is.Equal(lease.Instance.ID, "p1")
 			lease.Release(Unreachable)
 		}
@@ -191,35 +193,35 @@
 		slices.Sort(ids)
 		is.Equal(ids, []string{"p1", "s1"})
 		is.Equal(len(left), 2)
-		_, err := d.Acquire(context.Background(), ask("late", 0))
+		_, err := d.Acquire(context.Background(), newRequest("late", 0))
 		is.True(errors.Is(err, runworks.ErrNoServer))
 	})
 }
 
-// TestOthersTakeSlots counts what the other fronts have at a server, and forgets
+// TestSlotsUsedByOtherEntries counts what the other fronts have at a server, and forgets
 // it when they are gone.
-func TestOthersTakeSlots(t *testing.T) {
+func TestSlotsUsedByOtherEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(2)
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0": 2}))
-		waiting := acquired(d, ask("waits", 0))
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s0": 2}))
+		waiting := acquireAsync(d, newRequest("waits", 0))
 		is.Equal(len(waiting), 0)
 		d.RemovePeer("other")
 		(<-waiting).Release(Served)
 	})
 }
 
-// TestNewServerIsTakenByOthers makes a server known that other entries, which knew it
+// TestNewServerFilledByOtherEntries makes a server known that other entries, which knew it
 // sooner, have filled: a call that waits must not be sent there.
-func TestNewServerIsTakenByOthers(t *testing.T) {
+func TestNewServerFilledByOtherEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
-		first, err := d.Acquire(context.Background(), ask("first", 1))
+		first, err := d.Acquire(context.Background(), newRequest("first", 1))
 		is.NoErr(err)
-		waits := acquired(d, ask("waits", 1))
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 2}))
+		waits := acquireAsync(d, newRequest("waits", 1))
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s1": 2}))
 		d.SetServers(instances(1, 2))
 		synctest.Wait()
 		is.Equal(len(waits), 0)
@@ -228,13 +230,13 @@
 	})
 }
 
-// TestPatience gives a call up before its caller leaves.
-func TestPatience(t *testing.T) {
+// TestCallerTimeout gives a call up before its caller leaves.
+func TestCallerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
-		<-acquired(d, ask("runs", 0))
-		a := ask("waits", 0)
+		<-acquireAsync(d, newRequest("runs", 0))
+		a := newRequest("waits", 0)
 		a.CallerTimeout = time.Now().Add(3 * time.Second)
 		began := time.Now()
 		_, err := d.Acquire(context.Background(), a)
@@ -244,21 +246,21 @@
 	})
 }
 
-// TestHopelessIsToldAsTheQueueMoves tells a late call at once when the starts that its
+// TestPruneLateCalls tells a late call at once when the starts that its
 // tier gets leave it no hope, long before its caller leaves.
-func TestHopelessIsToldAsTheQueueMoves(t *testing.T) {
+func TestPruneLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
-		lease := <-acquired(d, ask("runs", 0))
+		lease := <-acquireAsync(d, newRequest("runs", 0))
 		time.Sleep(2 * time.Second)
 		lease.Release(Served) // calls keep their slot for 2 s
-		lease = <-acquired(d, ask("runs again", 0))
-		late := []<-chan *Lease{acquired(d, ask("late0", 0)), acquired(d, ask("late1", 0)), acquired(d, ask("late2", 0))}
+		lease = <-acquireAsync(d, newRequest("runs again", 0))
+		late := []<-chan *Lease{acquireAsync(d, newRequest("late0", 0)), acquireAsync(d, newRequest("late1", 0)), acquireAsync(d, newRequest("late2", 0))}
 		time.Sleep(1500 * time.Millisecond)
 		is.Equal(d.WaitingCalls()["llm"], 3)
 		for i := range 30 { // what is in time gets all the starts
-			urgent := acquired(d, ask(fmt.Sprint("urgent", i), 0))
+			urgent := acquireAsync(d, newRequest(fmt.Sprint("urgent", i), 0))
 			time.Sleep(200 * time.Millisecond)
 			lease.Release(Served)
 			lease = <-urgent
@@ -275,19 +277,19 @@
 	})
 }
 
-// TestHopelessIsRefusedAtOnce lets a call wait that can't meet its target but be served
+// TestRefuseLateCallOnArrival lets a call wait that can't meet its target but be served
 // before its caller leaves, and refuses one that can't.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestRefuseLateCallOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
-		lease := <-acquired(d, ask("runs", 0))
+		lease := <-acquireAsync(d, newRequest("runs", 0))
 		time.Sleep(2 * time.Second)
 		lease.Release(Served) // calls keep their slot for 2 s
-		<-acquired(d, ask("runs again", 0))
-		waits := acquired(d, ask("waits", 0))
-		late := acquired(d, ask("late", 0))
-		hopeless := ask("hopeless", 0)
+		<-acquireAsync(d, newRequest("runs again", 0))
+		waits := acquireAsync(d, newRequest("waits", 0))
+		late := acquireAsync(d, newRequest("late", 0))
+		hopeless := newRequest("hopeless", 0)
 		hopeless.Deadline = time.Now().Add(3 * time.Second)
 		began := time.Now()
 		_, err := d.Acquire(context.Background(), hopeless)
@@ -299,14 +301,14 @@
 	})
 }
 
-// TestBrokenServerIsLeftOut sends nothing to a server whose calls break, as long
+// TestBrokenServerIsEjected sends nothing to a server whose calls break, as long
 // as another has a slot, and tries it again later.
-func TestBrokenServerIsLeftOut(t *testing.T) {
+func TestBrokenServerIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9)
 		for broken := 0; broken < failuresToEject; {
-			lease := <-acquired(d, ask(fmt.Sprint("break", broken), 0))
+			lease := <-acquireAsync(d, newRequest(fmt.Sprint("break", broken), 0))
 			if lease.Instance.ID == "s0" {
 				broken++
 				defer lease.Release(Served)
@@ -314,23 +316,23 @@
 				continue
 			}
 			lease.Release(Served)
-			d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 8}))
+			d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s1": 8}))
 		}
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 5}))
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s1": 5}))
 		for i := range 3 {
-			is.Equal((<-acquired(d, ask(fmt.Sprint(i), 0))).Instance.ID, "s1")
+			is.Equal((<-acquireAsync(d, newRequest(fmt.Sprint(i), 0))).Instance.ID, "s1")
 		}
 		time.Sleep(maxEjection)
-		is.Equal((<-acquired(d, ask("later", 0))).Instance.ID, "s0")
+		is.Equal((<-acquireAsync(d, newRequest("later", 0))).Instance.ID, "s0")
 	})
 }
 
-// TestAllBroken goes on using servers when all of them are suspended.
-func TestAllBroken(t *testing.T) {
+// TestAllServersEjected goes on using servers when all of them are suspended.
+func TestAllServersEjected(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		d := newDispatcher(2)
 		for i := range 5 {
-			(<-acquired(d, ask(fmt.Sprint(i), 0))).Release(Unreachable)
+			(<-acquireAsync(d, newRequest(fmt.Sprint(i), 0))).Release(Unreachable)
 		}
 	})
 }
@@ -342,21 +344,21 @@
 		is := is.New(t)
 		d := newDispatcher(2, 2)
 		for i, gap := range []time.Duration{15 * time.Millisecond, 45 * time.Millisecond} {
-			a := ask(fmt.Sprint("learn", i), 0)
+			a := newRequest(fmt.Sprint("learn", i), 0)
 			a.Exclude = []string{fmt.Sprint("s", 1-i)}
-			lease := <-acquired(d, a)
+			lease := <-acquireAsync(d, a)
 			lease.RecordEventGap(gap)
 			lease.RecordLength(300, 100)
 			lease.Release(Served)
 		}
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0": 2}))
-		long := ask("long", 0)
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s0": 2}))
+		long := newRequest("long", 0)
 		long.ExpectedTokens = 900 // 300 events: 4.5 s or 13.5 s
-		waiting := acquired(d, long)
-		short := <-acquired(d, ask("short", 0))
+		waiting := acquireAsync(d, long)
+		short := <-acquireAsync(d, newRequest("short", 0))
 		is.Equal(short.Instance.ID, "s1")
 		is.Equal(len(waiting), 0)
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{}))
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{}))
 		is.Equal((<-waiting).Instance.ID, "s0")
 	})
 }
@@ -372,67 +374,67 @@
 			time.Sleep(25 * time.Millisecond)
 			lease.Release(Served)
 		}
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0": 6}))
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s0": 6}))
 		for i := range 12 { // 6 slots, free twice in freeSoon
 			taken(t, d, fmt.Sprint(i))
 		}
-		waiting := acquired(d, ask("one too many", 0))
+		waiting := acquireAsync(d, newRequest("one too many", 0))
 		is.Equal(len(waiting), 0)
-		d.SetPeerLoad("other", runs(nil))
+		d.SetPeerLoad("other", runningLoad(nil))
 		(<-waiting).Release(Served)
 	})
 }
 
-// TestShorterGoesFirst serves the call with the shorter answer before a longer one that
+// TestShorterAnswerFirst serves the call with the shorter answer before a longer one that
 // came earlier.
-func TestShorterGoesFirst(t *testing.T) {
+func TestShorterAnswerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1)
-		first := <-acquired(d, ask("first", 0))
+		first := <-acquireAsync(d, newRequest("first", 0))
 		first.RecordLength(60, 10)
 		first.RecordEventGap(50 * time.Millisecond)
-		long := ask("long", 0)
+		long := newRequest("long", 0)
 		long.ExpectedTokens = 1200
-		waits := acquired(d, long)
+		waits := acquireAsync(d, long)
 		time.Sleep(10 * time.Millisecond)
-		short := ask("short", 0)
+		short := newRequest("short", 0)
 		short.ExpectedTokens = 30
-		goes := acquired(d, short)
-		overtakes(t, first, goes, waits)
+		goes := acquireAsync(d, short)
+		checkOrder(t, first, goes, waits)
 	})
 }
 
-// TestBrokenAnswersGoOnFirst gives the next slot to a call whose answer broke off, before
+// TestResumedCallFirst gives the next slot to a call whose answer broke off, before
 // one of a higher rank that came earlier.
-func TestBrokenAnswersGoOnFirst(t *testing.T) {
+func TestResumedCallFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1)
-		first := <-acquired(d, ask("first", 0))
-		fresh := acquired(d, ask("fresh", 1))
-		broken := ask("broken", 2)
+		first := <-acquireAsync(d, newRequest("first", 0))
+		fresh := acquireAsync(d, newRequest("fresh", 1))
+		broken := newRequest("broken", 2)
 		broken.Resumed = true
-		goes := acquired(d, broken)
-		overtakes(t, first, goes, fresh)
+		goes := acquireAsync(d, broken)
+		checkOrder(t, first, goes, fresh)
 	})
 }
 
-// TestLateCallsLeaveSlots keeps the last slots of a server from late calls, for calls that
+// TestSlotsReservedFromLateCalls keeps the last slots of a server from late calls, for calls that
 // come in the next moment and can still be in time.
-func TestLateCallsLeaveSlots(t *testing.T) {
+func TestSlotsReservedFromLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4)
 		var held []*Lease
 		for i := range 4 {
-			held = append(held, <-acquired(d, ask(fmt.Sprint("runs", i), 0)))
+			held = append(held, <-acquireAsync(d, newRequest(fmt.Sprint("runs", i), 0)))
 		}
-		late := acquired(d, ask("late", 0))
+		late := acquireAsync(d, newRequest("late", 0))
 		time.Sleep(2 * time.Second)
 		for _, one := range held[:slotsKeptFromLate] {
 			one.Release(Served)
 		}
 		is.Equal(len(late), 0)
-		lease := <-acquired(d, ask("fresh", 0))
+		lease := <-acquireAsync(d, newRequest("fresh", 0))
 		lease.Release(Served)
 		is.Equal(len(late), 0)
 		held[slotsKeptFromLate].Release(Served)
@@ -440,13 +442,13 @@
 	})
 }
 
-// TestFasterServerGoesFirst sends a call to the busier server that is four times as fast.
-func TestFasterServerGoesFirst(t *testing.T) {
+// TestFasterServerFirst sends a call to the busier server that is four times as fast.
+func TestFasterServerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := unlike()
+		d := heterogeneous()
 		for i := range 3 {
-			is.Equal((<-acquired(d, ask(fmt.Sprint(i), 0))).Instance.ID, "s0")
+			is.Equal((<-acquireAsync(d, newRequest(fmt.Sprint(i), 0))).Instance.ID, "s0")
 		}
 	})
 }
--- a/services/dispatch/expiry.go
+++ b/services/dispatch/expiry.go
@@ -16,7 +16,7 @@
 	// expiryDivisor is which part of the servers, as a divisor, and minLapsed how many at
 	// least, have to go at once: servers that leave go one by one.
 	expiryDivisor = 4
-	minExpired = 2
+	minExpired    = 2
 	// restoreGrace is for how long after the store came back from an older copy the record of
 	// a server that had gone before is not believed: the store drops it by then, as the
 	// server does not renew it.
--- a/services/dispatch/health.go
+++ b/services/dispatch/health.go
@@ -16,8 +16,8 @@
 	// all entries together, and failedFactor how many times as many as the others of
 	// its service on average, before it is left out for failedSuspension: some calls
 	// fail at every server.
-	minErrors        = 5
-	errorFactor     = 3
+	minErrors     = 5
+	errorFactor   = 3
 	errorEjection = time.Second
 	// entriesPerEjection is for how many other entries one more of them has to leave a server
 	// out before all do: a call or two broken by chance are met by some entry of a hundred
--- a/services/dispatch/health_test.go
+++ b/services/dispatch/health_test.go
@@ -14,7 +14,7 @@
 // taken gives the server that a call gets at once.
 func taken(t *testing.T, d *Dispatcher, id string) *Lease {
 	t.Helper()
-	lease := <-acquired(d, ask(id, 0))
+	lease := <-acquireAsync(d, newRequest(id, 0))
 	if lease == nil {
 		t.Fatalf("%s gets no server", id)
 	}
@@ -29,7 +29,7 @@
 		d := newDispatcher(9, 9)
 		var told []string
 		d.OnUnresponsive = func(s runworks.Instance, silent bool) { told = append(told, fmt.Sprint(s.ID, " ", silent)) }
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s1": 5}))
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s1": 5}))
 		silent := taken(t, d, "silent")
 		is.Equal(silent.Instance.ID, "s0")
 		silent.RecordHeaders()
@@ -72,7 +72,7 @@
 		d.OnPeerEject = func(_ runworks.Instance, entries int) { told = append(told, entries) }
 		before := taken(t, d, "before")
 		other := map[string]string{"s0": "s1", "s1": "s0"}[before.Instance.ID]
-		d.SetPeerLoad("busy", runs(runworks.RunningCalls{other: 5})) // so that it is the worse
+		d.SetPeerLoad("busy", runningLoad(runworks.RunningCalls{other: 5})) // so that it is the worse
 		time.Sleep(time.Millisecond)
 		d.SetPeerLoad("other", runworks.EntryLoad{Ejected: []string{before.Instance.ID}})
 		for i := range 3 {
--- a/services/dispatch/incarnation_test.go
+++ b/services/dispatch/incarnation_test.go
@@ -50,18 +50,18 @@
 		is.Equal(float64(now.meanGap), 0.0)
 		is.Equal(len(d.LocalLoad().Running), 0) // the call of the last life is not told
 
-		d.SetPeerLoad("behind", runs(runworks.RunningCalls{"s0/100": 4}))
+		d.SetPeerLoad("behind", runningLoad(runworks.RunningCalls{"s0/100": 4}))
 		is.Equal(now.load(), 0)
-		d.SetPeerLoad("other", runs(runworks.RunningCalls{"s0/200": 2}))
+		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s0/200": 2}))
 		is.Equal(now.load(), 2)
-		d.SetPeerLoad("older version", runs(runworks.RunningCalls{"s0": 1}))
+		d.SetPeerLoad("older version", runningLoad(runworks.RunningCalls{"s0": 1}))
 		is.Equal(now.load(), 3)
 		d.RemovePeer("older version")
 		is.Equal(now.load(), 2)
 
-		again := ask("again", 0)
+		again := newRequest("again", 0)
 		again.Exclude = []string{"s0/100"} // it had the call before it started again
-		second := <-acquired(d, again)
+		second := <-acquireAsync(d, again)
 		is.Equal(second.Instance.Generation, int64(200))
 		lease.Release(Interrupted) // tells nothing of the new life
 		is.Equal(now.unanswered, 0)
--- a/services/dispatch/press_test.go
+++ b/services/dispatch/limit_sim_test.go
@@ -17,72 +17,72 @@
 )
 
 // A server may get limitSlack times what its limit allows in limitSpan, and limitExtra
-// requests more, from all entries together, once they were told toldBefore before.
+// requests more, from all entries together, once they were told noticeDelay before.
 const (
-	limitSlack = 1.5
-	limitExtra = 5
-	limitSpan  = 4 * time.Second
-	toldBefore = 500 * time.Millisecond
+	limitSlack  = 1.5
+	limitExtra  = 5
+	limitSpan   = 4 * time.Second
+	noticeDelay = 500 * time.Millisecond
 )
 
-// press is callers that press on servers of which some have limits, in virtual time.
-type press struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	entries []*pressEntry
-	lives   int
-	servers []string
+// limitSim is callers that limitSim on servers of which some have limits, in virtual time.
+type limitSim struct {
+	mu           sync.Mutex
+	rng          *rand.Rand
+	entries      []*simEntry
+	incarnations int
+	servers      []string
 	// limits are what servers name; told is since when each entry's life was told by the
 	// server itself, by life and server.
-	limits map[string]float64
-	told   map[string]time.Time
+	limits    map[string]float64
+	limitSeen map[string]time.Time
 	// counted are the requests that count: from lives that the server had told.
 	counted map[string][]time.Time
-	// first is when a server named its limit first.
-	first                          map[string]time.Time
-	asked, served, refused, gaveUp int
-	work                           sync.WaitGroup
-	ctx                            context.Context
-	// alone keeps entries from asking each other for loans.
-	alone bool
-	// full has servers turn calls away that find no slot, and shares has an entry tell the
+	// firstSeen is when a server named its limit firstSeen.
+	firstSeen                        map[string]time.Time
+	calls, served, refused, timedOut int
+	work                             sync.WaitGroup
+	ctx                              context.Context
+	// noTransfers keeps entries from asking each other for loans.
+	noTransfers bool
+	// full has servers turn calls away that find no slot, and sharesBackoff has an entry tell the
 	// others for how long it is to leave a server alone.
-	full, shares bool
+	full, sharesBackoff bool
 	pressRests
 }
 
-// pressEntry is an entry, and what the others may know of it.
-type pressEntry struct {
+// simEntry is an entry, and what the others may know of it.
+type simEntry struct {
 	*Dispatcher
 	name   string
 	frozen bool
-	// cut says that no other entry is reached.
-	cut bool
+	// partitioned says that no other entry is reached.
+	partitioned bool
 	// weight is its part of the calls.
-	weight float64
-	end    context.CancelFunc
-	heard  map[runworks.Incarnation]time.Time
+	weight   float64
+	end      context.CancelFunc
+	lastSeen map[runworks.Incarnation]time.Time
 }
 
 // The figures of the calls of a press.
 const (
-	pressBeat    = 50 * time.Millisecond
-	pressPerPeer = 2 * time.Millisecond
-	pressRuns    = 200 * time.Millisecond
-	pressTarget  = 600 * time.Millisecond
-	pressLimit   = 4 * time.Second
-	pressSilent  = 1500 * time.Millisecond
-	pressWay     = time.Millisecond
+	simHeartbeat        = 50 * time.Millisecond
+	simHeartbeatPerPeer = 2 * time.Millisecond
+	simCallDuration     = 200 * time.Millisecond
+	simTarget           = 600 * time.Millisecond
+	simDeadline         = 4 * time.Second
+	simEntryTimeout     = 1500 * time.Millisecond
+	simLatency          = time.Millisecond
 )
 
-func (p *press) start(name string, weight float64) *pressEntry {
-	p.lives++
+func (p *limitSim) start(name string, weight float64) *simEntry {
+	p.incarnations++
 	ctx, end := context.WithCancel(p.ctx)
-	e := &pressEntry{name: name, weight: weight, end: end, heard: map[runworks.Incarnation]time.Time{}}
-	e.Dispatcher = &Dispatcher{Hall: "a", Self: runworks.Incarnation(fmt.Sprint(name, "#", p.lives))}
-	e.SendServerNotice = func(notice runworks.ServerNotice) { p.work.Go(func() { p.tellWord(e, notice) }) }
-	if !p.alone {
-		e.RequestPermits = func(loan *PermitTransfer) { p.work.Go(func() { e.FinishTransfer(loan, p.lend(e, loan)) }) }
+	e := &simEntry{name: name, weight: weight, end: end, lastSeen: map[runworks.Incarnation]time.Time{}}
+	e.Dispatcher = &Dispatcher{Hall: "a", Self: runworks.Incarnation(fmt.Sprint(name, "#", p.incarnations))}
+	e.SendServerNotice = func(notice runworks.ServerNotice) { p.work.Go(func() { p.broadcast(e, notice) }) }
+	if !p.noTransfers {
+		e.RequestPermits = func(loan *PermitTransfer) { p.work.Go(func() { e.FinishTransfer(loan, p.requestPermits(e, loan)) }) }
 	}
 	var list []runworks.Instance
 	for _, id := range p.servers {
@@ -93,8 +93,8 @@
 	return e
 }
 
-func (p *press) tellWord(from *pressEntry, notice runworks.ServerNotice) {
-	time.Sleep(pressWay)
+func (p *limitSim) broadcast(from *simEntry, notice runworks.ServerNotice) {
+	time.Sleep(simLatency)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, to := range p.entries {
@@ -104,31 +104,31 @@
 	}
 }
 
-// lend asks another entry for a loan; the question and the answer take a way each.
-func (p *press) lend(from *pressEntry, loan *PermitTransfer) int {
-	time.Sleep(pressWay)
+// requestPermits asks another entry for a loan; the question and the answer take a way each.
+func (p *limitSim) requestPermits(from *simEntry, loan *PermitTransfer) int {
+	time.Sleep(simLatency)
 	p.mu.Lock()
-	var lender *pressEntry
+	var donor *simEntry
 	for _, to := range p.entries {
 		if to.Self == loan.Donor && from.reaches(to) {
-			lender = to
+			donor = to
 		}
 	}
 	p.mu.Unlock()
 	n := 0
-	if lender != nil {
-		n = lender.TransferPermits(loan.Server, loan.Permits)
+	if donor != nil {
+		n = donor.TransferPermits(loan.Server, loan.Permits)
 	}
-	time.Sleep(pressWay)
+	time.Sleep(simLatency)
 	return n
 }
 
-func (e *pressEntry) reaches(to *pressEntry) bool {
-	return !e.frozen && !to.frozen && !e.cut && !to.cut
+func (e *simEntry) reaches(to *simEntry) bool {
+	return !e.frozen && !to.frozen && !e.partitioned && !to.partitioned
 }
 
-// beat has all entries hear each other, and notice who fell silent.
-func (p *press) beat() {
+// heartbeats has all entries hear each other, and notice who fell silent.
+func (p *limitSim) heartbeats() {
 	for p.ctx.Err() == nil {
 		p.mu.Lock()
 		now := time.Now()
@@ -138,29 +138,29 @@
 				if to == from || !from.reaches(to) {
 					continue
 				}
-				if to.heard[from.Self].IsZero() {
+				if to.lastSeen[from.Self].IsZero() {
 					to.ApplyNotices(from.name, from.ServerNotices())
 				}
-				to.heard[from.Self] = now
+				to.lastSeen[from.Self] = now
 				to.SetPeerLoad(from.Self, load)
 			}
 		}
 		for _, e := range p.entries {
-			for id, last := range e.heard {
-				if !e.frozen && now.Sub(last) > pressSilent {
+			for id, last := range e.lastSeen {
+				if !e.frozen && now.Sub(last) > simEntryTimeout {
 					e.MarkPeerUnreachable(id)
-					delete(e.heard, id)
+					delete(e.lastSeen, id)
 				}
 			}
 		}
-		wait := max(pressBeat, time.Duration(len(p.entries))*pressPerPeer)
+		wait := max(simHeartbeat, time.Duration(len(p.entries))*simHeartbeatPerPeer)
 		p.mu.Unlock()
 		time.Sleep(wait)
 	}
 }
 
 // pick gives an entry by the weights; nil while it stands still.
-func (p *press) pick() *pressEntry {
+func (p *limitSim) pick() *simEntry {
 	sum := 0.0
 	for _, e := range p.entries {
 		sum += e.weight
@@ -178,7 +178,7 @@
 }
 
 // load has calls come to the entries for a while, so many a second.
-func (p *press) load(span time.Duration, perSecond float64) {
+func (p *limitSim) load(span time.Duration, perSecond float64) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		p.mu.Lock()
 		e := p.pick()
@@ -190,28 +190,28 @@
 	}
 }
 
-func (p *press) call(e *pressEntry) {
+func (p *limitSim) call(e *simEntry) {
 	p.mu.Lock()
-	p.asked++
-	id := fmt.Sprint("c", p.asked)
+	p.calls++
+	id := fmt.Sprint("c", p.calls)
 	p.mu.Unlock()
 	now := time.Now()
-	ask := &Request{ID: runworks.RequestID(id), Service: "llm", Target: now.Add(pressTarget), Deadline: now.Add(pressLimit)}
-	lease, err := e.Acquire(p.ctx, ask)
+	req := &Request{ID: runworks.RequestID(id), Service: "llm", Target: now.Add(simTarget), Deadline: now.Add(simDeadline)}
+	lease, err := e.Acquire(p.ctx, req)
 	for err == nil && p.turnedAway(e, lease) {
-		ask.Exclude = append(ask.Exclude, lease.Instance.ID)
-		if len(ask.Exclude) == pressSends {
+		req.Exclude = append(req.Exclude, lease.Instance.ID)
+		if len(req.Exclude) == pressSends {
 			err = runworks.ErrRejected
 			break
 		}
-		lease, err = e.Acquire(p.ctx, ask)
+		lease, err = e.Acquire(p.ctx, req)
 	}
 	p.mu.Lock()
 	if err != nil {
 		if errors.Is(err, runworks.ErrShortage) {
 			p.refused++
 		} else {
-			p.gaveUp++
+			p.timedOut++
 		}
 		p.mu.Unlock()
 		return
@@ -219,17 +219,17 @@
 	sent := time.Now()
 	server := lease.Instance.ID
 	key := string(e.Self) + server
-	if at := p.told[key]; !at.IsZero() && sent.Sub(at) >= toldBefore {
+	if at := p.limitSeen[key]; !at.IsZero() && sent.Sub(at) >= noticeDelay {
 		p.counted[server] = append(p.counted[server], sent)
 	}
 	p.mu.Unlock()
-	time.Sleep(pressRuns)
+	time.Sleep(simCallDuration)
 	p.mu.Lock()
 	limit, named := p.limits[server]
-	if named && p.told[key].IsZero() {
-		p.told[key] = time.Now()
-		if p.first[server].IsZero() {
-			p.first[server] = time.Now()
+	if named && p.limitSeen[key].IsZero() {
+		p.limitSeen[key] = time.Now()
+		if p.firstSeen[server].IsZero() {
+			p.firstSeen[server] = time.Now()
 		}
 	}
 	p.served++
@@ -239,8 +239,8 @@
 	lease.Release(Served)
 }
 
-// most gives the most requests that counted in the span of a limit.
-func (p *press) most(server string) int {
+// maxInSpan gives the maxInSpan requests that counted in the span of a limit.
+func (p *limitSim) maxInSpan(server string) int {
 	most, first := 0, 0
 	list := p.counted[server]
 	for i, at := range list {
@@ -254,7 +254,7 @@
 
 // verdict says whether all limits were kept, what was used of them in the time, and how
 // callers were answered.
-func (p *press) verdict(t *testing.T, span time.Duration) string {
+func (p *limitSim) verdict(t *testing.T, span time.Duration) string {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -262,7 +262,7 @@
 	used, sum := 0, 0.0
 	worst := ""
 	for server, limit := range p.limits {
-		most := p.most(server)
+		most := p.maxInSpan(server)
 		allowed := limitSlack*limitSpan.Seconds()*limit + limitExtra
 		if float64(most) > allowed {
 			kept = false
@@ -271,27 +271,27 @@
 		used += len(p.counted[server])
 		sum += limit * span.Seconds()
 	}
-	t.Logf("asked=%d served=%.3f refused=%.3f gave-up=%.3f used=%.3f%s", p.asked, part(p.served, p.asked), part(p.refused, p.asked), part(p.gaveUp, p.asked),
+	t.Logf("asked=%d served=%.3f refused=%.3f gave-up=%.3f used=%.3f%s", p.calls, fraction(p.served, p.calls), fraction(p.refused, p.calls), fraction(p.timedOut, p.calls),
 		float64(used)/max(sum, 1), worst)
 	out := fmt.Sprintf("kept=%t\n", kept)
-	p.asked, p.served, p.refused, p.gaveUp = 0, 0, 0, 0
+	p.calls, p.served, p.refused, p.timedOut = 0, 0, 0, 0
 	p.counted = map[string][]time.Time{}
 	return out
 }
 
-func part(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
+func fraction(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
 // TestServerLimits presses on servers with limits in virtual time, through entries that
 // start, end, stand still and are cut off.
-func TestServerLimits(t *testing.T) { playPress(t, "testdata/limits") }
+func TestServerLimits(t *testing.T) { runLimitSims(t, "testdata/limits") }
 
-// playPress plays the scripts of a folder.
-func playPress(t *testing.T, folder string) {
+// runLimitSims plays the scripts of a folder.
+func runLimitSims(t *testing.T, folder string) {
 	t.Helper()
 	datadriven.Walk(t, folder, func(t *testing.T, path string) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			p := newPress(ctx)
+			p := newLimitSim(ctx)
 			defer p.work.Wait()
 			defer cancel()
 			datadriven.RunTest(t, path, p.step)
@@ -299,24 +299,24 @@
 	})
 }
 
-func newPress(ctx context.Context) *press {
-	return &press{
-		ctx: ctx, rng: rand.New(rand.NewPCG(1, 2)), limits: map[string]float64{}, told: map[string]time.Time{},
-		counted: map[string][]time.Time{}, first: map[string]time.Time{}, pressRests: newPressRests(),
+func newLimitSim(ctx context.Context) *limitSim {
+	return &limitSim{
+		ctx: ctx, rng: rand.New(rand.NewPCG(1, 2)), limits: map[string]float64{}, limitSeen: map[string]time.Time{},
+		counted: map[string][]time.Time{}, firstSeen: map[string]time.Time{}, pressRests: newPressRests(),
 	}
 }
 
-// pressArgs are the arguments of a script's line.
-type pressArgs struct {
+// simArgs are the arguments of a script's line.
+type simArgs struct {
 	entries, servers, limited, seconds int
 	perSecond, limit, skew             float64
 	names                              string
-	alone, full, shares                bool
+	noTransfers, full, sharesBackoff   bool
 }
 
-func readPressArgs(t *testing.T, d *datadriven.TestData) pressArgs {
+func parseSimArgs(t *testing.T, d *datadriven.TestData) simArgs {
 	t.Helper()
-	var a pressArgs
+	var a simArgs
 	for key, to := range map[string]any{"entries": &a.entries, "servers": &a.servers, "limited": &a.limited, "seconds": &a.seconds, "names": &a.names} {
 		d.MaybeScanArgs(t, key, to)
 	}
@@ -329,19 +329,19 @@
 			d.Fatalf(t, "%s: %v", text, err)
 		}
 	}
-	a.alone, a.full, a.shares = d.HasArg("alone"), d.HasArg("full"), d.HasArg("shares")
+	a.noTransfers, a.full, a.sharesBackoff = d.HasArg("alone"), d.HasArg("full"), d.HasArg("shares")
 	return a
 }
 
 // step runs a line of a script.
-func (p *press) step(t *testing.T, d *datadriven.TestData) string {
-	a := readPressArgs(t, d)
+func (p *limitSim) step(t *testing.T, d *datadriven.TestData) string {
+	a := parseSimArgs(t, d)
 	if out, ok := p.stepRests(t, d.Cmd, &a); ok {
 		return out
 	}
 	switch d.Cmd {
 	case "site":
-		p.site(&a)
+		p.startSite(&a)
 	case "limit":
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -351,38 +351,38 @@
 	case "end":
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.limits, p.told = map[string]float64{}, map[string]time.Time{}
+		p.limits, p.limitSeen = map[string]float64{}, map[string]time.Time{}
 	case "load":
 		span := time.Duration(a.seconds) * time.Second
 		p.load(span, a.perSecond)
 		return p.verdict(t, span)
 	case "restart":
-		p.chosen(a.names, p.restart)
+		p.forNamed(a.names, p.restart)
 	case "freeze", "wake":
-		p.chosen(a.names, func(_ int, e *pressEntry) { e.frozen = d.Cmd == "freeze" })
+		p.forNamed(a.names, func(_ int, e *simEntry) { e.frozen = d.Cmd == "freeze" })
 	case "cut", "heal":
-		p.chosen(a.names, func(_ int, e *pressEntry) { e.cut = d.Cmd == "cut" })
+		p.forNamed(a.names, func(_ int, e *simEntry) { e.partitioned = d.Cmd == "cut" })
 	default:
 		t.Fatalf("no command %s", d.Cmd)
 	}
 	return ""
 }
 
-// site starts the entries and lets them hear each other.
-func (p *press) site(a *pressArgs) {
-	p.alone, p.full, p.shares = a.alone, a.full, a.shares
+// startSite starts the entries and lets them hear each other.
+func (p *limitSim) startSite(a *simArgs) {
+	p.noTransfers, p.full, p.sharesBackoff = a.noTransfers, a.full, a.sharesBackoff
 	for i := range a.servers {
 		p.servers = append(p.servers, fmt.Sprint("s", i))
 	}
 	for i := range a.entries {
 		p.entries = append(p.entries, p.start(fmt.Sprint("e", i), 1+a.skew*float64(i)))
 	}
-	p.work.Go(p.beat)
+	p.work.Go(p.heartbeats)
 	time.Sleep(time.Second)
 }
 
-// chosen does something with the entries of some names.
-func (p *press) chosen(names string, do func(i int, e *pressEntry)) {
+// forNamed does something with the entries of some names.
+func (p *limitSim) forNamed(names string, do func(i int, e *simEntry)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, e := range p.entries {
@@ -393,11 +393,11 @@
 }
 
 // restart begins a new life of an entry, which all others notice at once.
-func (p *press) restart(i int, e *pressEntry) {
+func (p *limitSim) restart(i int, e *simEntry) {
 	e.end()
 	p.entries[i] = p.start(e.name, e.weight)
 	for _, other := range p.entries {
-		delete(other.heard, e.Self)
+		delete(other.lastSeen, e.Self)
 		other.RemovePeer(e.Self)
 	}
 }
--- a/services/dispatch/limit_test.go
+++ b/services/dispatch/limit_test.go
@@ -28,7 +28,7 @@
 	out := map[string]int{}
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
-		lease, err := d.Acquire(ctx, ask("c", 0))
+		lease, err := d.Acquire(ctx, newRequest("c", 0))
 		cancel()
 		if err != nil {
 			return out
@@ -61,19 +61,19 @@
 		is := is.New(t)
 		d := newDispatcher(4, 4)
 		limitOf(d, "s1", 1)
-		failed := ask("failed", 0)
+		failed := newRequest("failed", 0)
 		failed.Exclude, failed.Retry = []string{"s0"}, true
 		_, err := d.Acquire(context.Background(), failed)
 		is.True(errors.Is(err, runworks.ErrNoServer))
-		fresh := ask("fresh", 0)
+		fresh := newRequest("fresh", 0)
 		fresh.Exclude = []string{"s0"}
 		go d.Run(t.Context())
-		lease := <-acquired(d, fresh)
+		lease := <-acquireAsync(d, fresh)
 		is.Equal(lease.Instance.ID, "s1")
 		lease.Release(Served)
-		resumed := ask("resumed", 0)
+		resumed := newRequest("resumed", 0)
 		resumed.Exclude, resumed.Retry, resumed.Resumed = []string{"s0"}, true, true
-		lease = <-acquired(d, resumed)
+		lease = <-acquireAsync(d, resumed)
 		is.Equal(lease.Instance.ID, "s1")
 		lease.Release(Served)
 		time.Sleep(1100 * time.Millisecond)
@@ -95,9 +95,9 @@
 		began := time.Now()
 		var waiting []<-chan *Lease
 		for told := false; !told; {
-			a := ask(fmt.Sprint("c", len(waiting)), 0)
+			a := newRequest(fmt.Sprint("c", len(waiting)), 0)
 			a.Target, a.CallerTimeout = began.Add(500*time.Millisecond), began.Add(3*time.Second)
-			out := acquired(d, a)
+			out := acquireAsync(d, a)
 			select {
 			case <-out: // closed at once
 				told = true
@@ -125,7 +125,7 @@
 		for i := range 100 {
 			d.SetPeerLoad(runworks.Incarnation(strings.Repeat("x", i+1)), runworks.EntryLoad{})
 		}
-		_, err := d.Acquire(context.Background(), ask("c", 0))
+		_, err := d.Acquire(context.Background(), newRequest("c", 0))
 		is.True(errors.Is(err, runworks.ErrShortage))
 		is.True(strings.Contains(err.Error(), "no part"))
 	})
@@ -239,14 +239,14 @@
 		d.SetServers(instances(8))
 		d.SetPeerLoad("other", runworks.EntryLoad{})
 		limitOf(d, "s0", 1)
-		out := acquired(d, ask("c", 0))
+		out := acquireAsync(d, newRequest("c", 0))
 		is.Equal(len(out), 0)
 		is.Equal(len(loans), 1) // one question at a time
 		is.Equal(*loans[0], PermitTransfer{Server: "s0", Donor: "other", Permits: 1, service: "llm"})
 		d.FinishTransfer(loans[0], 3)
 		lease := <-out
 		is.Equal(lease.Instance.ID, "s0")
-		waits := acquired(d, ask("d", 0))
+		waits := acquireAsync(d, newRequest("d", 0))
 		is.Equal(len(waits), 0) // two of the three are lost
 		is.Equal(len(loans), 2)
 		d.FinishTransfer(loans[1], 1)
@@ -274,10 +274,10 @@
 		limitOf(d, "s0", 1)
 		is.Equal(d.ServerStatuses()[0].LimitShare, 0.0) // as the hash says
 		go d.Run(t.Context())
-		out := acquired(d, ask("c", 0))
+		out := acquireAsync(d, newRequest("c", 0))
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(asked.Load(), int32(permitRequestTries))
-		_, err := d.Acquire(context.Background(), ask("d", 0))
+		_, err := d.Acquire(context.Background(), newRequest("d", 0))
 		is.True(errors.Is(err, runworks.ErrShortage))
 		is.True(time.Since(began) < 20*time.Millisecond)
 		_, given := <-out
@@ -299,7 +299,7 @@
 		time.Sleep(2 * time.Second)
 		is.Equal(d.TransferPermits("s0", 3), 3)
 		is.Equal(d.TransferPermits("s0", 3), 1)
-		out := acquired(d, ask("c", 0))
+		out := acquireAsync(d, newRequest("c", 0))
 		time.Sleep(600 * time.Millisecond) // something is at hand again, and the call not looked at yet
 		is.Equal(d.TransferPermits("s0", 3), 0)
 		go d.Run(t.Context())
@@ -312,8 +312,8 @@
 func TestLimitedServerIsNoReasonToWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := unlike()
+		d := heterogeneous()
 		limitOf(d, "s0", 0)
-		is.Equal((<-acquired(d, prompted("long", 6000))).Instance.ID, "s1")
+		is.Equal((<-acquireAsync(d, requestWithPrompt("long", 6000))).Instance.ID, "s1")
 	})
 }
--- a/services/dispatch/load_test.go
+++ b/services/dispatch/load_test.go
@@ -98,15 +98,15 @@
 	rank, prompt, events int
 	perSecond, spread    float64
 	target               time.Duration
-	// wanted is the part of its calls that must be on time.
-	wanted float64
-	rng    *rand.Rand
+	// required is the part of its calls that must be on time.
+	required float64
+	rng      *rand.Rand
 
-	asked, onTime, late, paused, refused, gaveUp int
+	calls, onTime, late, stalled, refused, timedOut int
 }
 
-// load is a scripted load on some fronts.
-type load struct {
+// loadSim is a scripted loadSim on some fronts.
+type loadSim struct {
 	mu      sync.Mutex
 	fronts  []*Dispatcher
 	engines map[string]*loadEngine
@@ -115,32 +115,32 @@
 }
 
 const (
-	loadBeat     = 50 * time.Millisecond
-	loadPerFront = 2 * time.Millisecond
-	loadPerFar   = 5 * time.Millisecond
-	loadPause    = 250 * time.Millisecond
-	loadPatience = 2 * time.Second
-	loadDeadline = 12 * time.Second
+	loadHeartbeat     = 50 * time.Millisecond
+	loadPerFront      = 2 * time.Millisecond
+	loadPerRemote     = 5 * time.Millisecond
+	loadMaxGap        = 250 * time.Millisecond
+	loadCallerTimeout = 2 * time.Second
+	loadDeadline      = 12 * time.Second
 )
 
-// drawn gives a size of a mean, spread as a log-normal.
-func (k *loadKind) drawn(mean int, spread float64) int {
+// sample gives a size of a mean, spread as a log-normal.
+func (k *loadKind) sample(mean int, spread float64) int {
 	return max(1, int(float64(mean)*math.Exp(spread*k.rng.NormFloat64()-spread*spread/2)))
 }
 
 // play lets calls come for a time.
-func (l *load) play(ctx context.Context, span time.Duration) {
+func (l *loadSim) play(ctx context.Context, span time.Duration) {
 	var sources sync.WaitGroup
 	for i, k := range l.kinds {
 		sources.Go(func() {
 			end := time.Now().Add(span)
 			for n := 0; time.Now().Before(end); n++ {
 				wait := time.Duration(k.rng.ExpFloat64() / k.perSecond * float64(time.Second))
-				c := &loadCall{unread: k.drawn(k.prompt, k.spread)}
-				events := k.drawn(k.events, k.spread)
-				hint := k.drawn(events*loadStride, 0.5)
+				c := &loadCall{unread: k.sample(k.prompt, k.spread)}
+				events := k.sample(k.events, k.spread)
+				hint := k.sample(events*loadStride, 0.5)
 				l.mu.Lock()
-				k.asked++
+				k.calls++
 				l.mu.Unlock()
 				c.tokens, c.events = events*loadStride, make(chan struct{}, events+1)
 				id := fmt.Sprintf("%d-%d", i, n)
@@ -154,9 +154,9 @@
 	l.work.Wait()
 }
 
-// tell lets all fronts hear what the others have, as heartbeats do, until ctx ends: where
+// exchangeLoads lets all fronts hear what the others have, as heartbeats do, until ctx ends: where
 // there are many, those of other halls less often.
-func (l *load) tell(ctx context.Context) {
+func (l *loadSim) exchangeLoads(ctx context.Context) {
 	halls := map[string]int{}
 	for _, front := range l.fronts {
 		halls[front.Hall]++
@@ -165,31 +165,31 @@
 	for _, count := range halls {
 		largest = max(largest, count)
 	}
-	far := 1
+	remoteEvery := 1
 	if n > runworks.ManyEntriesThreshold && len(halls) > 1 {
-		far = max(1, int(time.Duration(n-largest)*loadPerFar/loadBeat))
+		remoteEvery = max(1, int(time.Duration(n-largest)*loadPerRemote/loadHeartbeat))
 		n = largest
 	}
 	for i := 0; ctx.Err() == nil; i++ {
 		for j, from := range l.fronts {
 			load := from.LocalLoad()
 			for _, to := range l.fronts {
-				if to != from && (to.Hall == from.Hall || (i+j)%far == 0) {
+				if to != from && (to.Hall == from.Hall || (i+j)%remoteEvery == 0) {
 					to.SetPeerLoad(from.Self, load)
 				}
 			}
 		}
-		time.Sleep(max(loadBeat, time.Duration(n)*loadPerFront))
+		time.Sleep(max(loadHeartbeat, time.Duration(n)*loadPerFront))
 	}
 }
 
 // call sends one call and notes how it ended.
-func (l *load) call(ctx context.Context, front *Dispatcher, id string, k *loadKind, c *loadCall, hint int) {
-	came := time.Now()
+func (l *loadSim) call(ctx context.Context, front *Dispatcher, id string, k *loadKind, c *loadCall, hint int) {
+	arrived := time.Now()
 	prompt := c.unread
 	lease, err := front.Acquire(ctx, &Request{
 		ID: runworks.RequestID(id), Service: "llm", RouteRank: k.rank, PromptTokens: prompt, ExpectedTokens: hint,
-		MaxGap: loadPause, Target: came.Add(k.target), CallerTimeout: came.Add(loadPatience), Deadline: came.Add(loadDeadline),
+		MaxGap: loadMaxGap, Target: arrived.Add(k.target), CallerTimeout: arrived.Add(loadCallerTimeout), Deadline: arrived.Add(loadDeadline),
 	})
 	if err != nil {
 		l.mu.Lock()
@@ -197,17 +197,17 @@
 		if errors.Is(err, runworks.ErrShortage) {
 			k.refused++
 		} else {
-			k.gaveUp++
+			k.timedOut++
 		}
 		return
 	}
 	time.Sleep(loadStart)
 	l.engines[lease.Instance.ID].add(c)
 	var first, longest time.Duration
-	last := came
+	last := arrived
 	for range c.events {
 		if first == 0 {
-			first = time.Since(came)
+			first = time.Since(arrived)
 			lease.RecordFirstEvent(prompt)
 		} else {
 			longest = max(longest, time.Since(last))
@@ -222,8 +222,8 @@
 	switch {
 	case first > k.target:
 		k.late++
-	case longest > loadPause:
-		k.paused++
+	case longest > loadMaxGap:
+		k.stalled++
 	default:
 		k.onTime++
 	}
@@ -234,7 +234,7 @@
 // are logged: they differ by some hundredths from run to run.
 func TestLoad(t *testing.T) {
 	datadriven.RunTest(t, "testdata/load", func(t *testing.T, d *datadriven.TestData) string {
-		l := &load{engines: map[string]*loadEngine{}}
+		l := &loadSim{engines: map[string]*loadEngine{}}
 		var fronts, fast, slow, slots, seconds int
 		halls := 1
 		d.MaybeScanArgs(t, "halls", &halls)
@@ -244,14 +244,14 @@
 		d.ScanArgs(t, "slots", &slots)
 		d.ScanArgs(t, "seconds", &seconds)
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
-			l.kinds = append(l.kinds, kindOf(t, d, line, uint64(len(l.kinds))))
+			l.kinds = append(l.kinds, parseKind(t, d, line, uint64(len(l.kinds))))
 		}
 		synctest.Test(t, func(*testing.T) { l.simulate(halls, fronts, fast, slow, slots, time.Duration(seconds)*time.Second) })
 		var out strings.Builder
 		for _, k := range l.kinds {
 			t.Logf("%s: %s", d.Cmd, k)
 			verdict := "met"
-			if k.part(k.onTime) < k.wanted {
+			if k.fraction(k.onTime) < k.required {
 				verdict = "not met"
 			}
 			fmt.Fprintf(&out, "rank=%d %s\n", k.rank, verdict)
@@ -260,29 +260,29 @@
 	})
 }
 
-// kindOf reads a kind of call.
-func kindOf(t *testing.T, d *datadriven.TestData, line string, seed uint64) *loadKind {
+// parseKind reads a kind of call.
+func parseKind(t *testing.T, d *datadriven.TestData, line string, seed uint64) *loadKind {
 	k := &loadKind{rng: rand.New(rand.NewPCG(1, seed))}
 	var target int
 	if _, err := fmt.Sscanf(line, "rank=%d a-second=%f prompt=%d events=%d spread=%f target=%d wanted=%f",
-		&k.rank, &k.perSecond, &k.prompt, &k.events, &k.spread, &target, &k.wanted); err != nil {
+		&k.rank, &k.perSecond, &k.prompt, &k.events, &k.spread, &target, &k.required); err != nil {
 		d.Fatalf(t, "%s: %v", line, err)
 	}
 	k.target = time.Duration(target) * time.Millisecond
 	return k
 }
 
-// part is a count as a part of all calls.
-func (k *loadKind) part(n int) float64 { return float64(n) / float64(k.asked) }
+// fraction is a count as a fraction of all calls.
+func (k *loadKind) fraction(n int) float64 { return float64(n) / float64(k.calls) }
 
 // String implements fmt.Stringer.
 func (k *loadKind) String() string {
 	return fmt.Sprintf("rank=%d asked=%d on-time=%.3f late=%.3f paused=%.3f refused=%.3f gave-up=%.3f",
-		k.rank, k.asked, k.part(k.onTime), k.part(k.late), k.part(k.paused), k.part(k.refused), k.part(k.gaveUp))
+		k.rank, k.calls, k.fraction(k.onTime), k.fraction(k.late), k.fraction(k.stalled), k.fraction(k.refused), k.fraction(k.timedOut))
 }
 
 // simulate plays the load on so many engines.
-func (l *load) simulate(halls, fronts, fast, slow, slots int, span time.Duration) {
+func (l *loadSim) simulate(halls, fronts, fast, slow, slots int, span time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var list []runworks.Instance
 	var running sync.WaitGroup
@@ -302,7 +302,7 @@
 		l.fronts = append(l.fronts, d)
 		running.Go(func() { d.Run(ctx) })
 	}
-	running.Go(func() { l.tell(ctx) })
+	running.Go(func() { l.exchangeLoads(ctx) })
 	l.play(ctx, span)
 	cancel()
 	running.Wait()
--- a/services/dispatch/model_test.go
+++ b/services/dispatch/model_test.go
@@ -12,8 +12,8 @@
 	"github.com/runworks/runworks"
 )
 
-// TestReadings finds the line behind what was seen, and says nothing on too little.
-func TestReadings(t *testing.T) {
+// TestPrefillModel finds the line behind what was seen, and says nothing on too little.
+func TestPrefillModel(t *testing.T) {
 	is := is.New(t)
 	var r prefillModel
 	for i := range 2 * minPrefillSamples {
@@ -28,9 +28,9 @@
 	is.True(math.Abs(perToken-0.0001) < 1e-9)
 }
 
-// unlike gives a dispatcher that has seen two servers: s0 takes 20 ms between events, s1
+// heterogeneous gives a dispatcher that has seen two servers: s0 takes 20 ms between events, s1
 // four times as long; a prompt takes the fastest 50 ms and 10 ms for 1,000 tokens.
-func unlike() *Dispatcher {
+func heterogeneous() *Dispatcher {
 	d := newDispatcher(9, 9)
 	for i := range 2 * minPrefillSamples {
 		for _, one := range []struct {
@@ -47,29 +47,29 @@
 	return d
 }
 
-// prompted is a call with a prompt of so many tokens.
-func prompted(id string, tokens int) *Request {
-	a := ask(id, 0)
+// requestWithPrompt is a call with a prompt of so many tokens.
+func requestWithPrompt(id string, tokens int) *Request {
+	a := newRequest(id, 0)
 	a.PromptTokens, a.MaxGap = tokens, 250*time.Millisecond
 	return a
 }
 
-// TestLongPromptsKeepOffSlowServers sends a long prompt to the busier fast server, as the
+// TestLongPromptsAvoidSlowServers sends a long prompt to the busier fast server, as the
 // slow one would pause for all its streams, and lets it wait for it; a short one it takes.
-func TestLongPromptsKeepOffSlowServers(t *testing.T) {
+func TestLongPromptsAvoidSlowServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := unlike()
+		d := heterogeneous()
 		var held []*Lease
 		for i := range 9 {
-			l := <-acquired(d, prompted(fmt.Sprint("long", i), 6000))
+			l := <-acquireAsync(d, requestWithPrompt(fmt.Sprint("long", i), 6000))
 			is.Equal(l.Instance.ID, "s0")
 			l.RecordFirstEvent(0)
 			held = append(held, l)
 		}
-		waits := acquired(d, prompted("waits", 6000))
+		waits := acquireAsync(d, requestWithPrompt("waits", 6000))
 		is.Equal(len(waits), 0)
-		is.Equal((<-acquired(d, prompted("short", 500))).Instance.ID, "s1")
+		is.Equal((<-acquireAsync(d, requestWithPrompt("short", 500))).Instance.ID, "s1")
 		held[0].Release(Served)
 		is.Equal((<-waits).Instance.ID, "s0")
 	})
@@ -87,73 +87,73 @@
 			l.began = time.Now().Add(-50*time.Millisecond - time.Duration(tokens)*10*time.Microsecond)
 			l.RecordFirstEvent(tokens)
 		}
-		first := <-acquired(d, prompted("first", 500))
+		first := <-acquireAsync(d, requestWithPrompt("first", 500))
 		first.Release(Served)
 		reads := runworks.EntryLoad{UnreadPromptTokens: map[string]int{first.Instance.ID: 60000}}
 		d.SetPeerLoad("other", reads)
-		is.True((<-acquired(d, prompted("second", 500))).Instance.ID != first.Instance.ID)
+		is.True((<-acquireAsync(d, requestWithPrompt("second", 500))).Instance.ID != first.Instance.ID)
 		d.SetPeerLoad("other", runworks.EntryLoad{})
-		is.Equal((<-acquired(d, prompted("third", 500))).Instance.ID, first.Instance.ID)
+		is.Equal((<-acquireAsync(d, requestWithPrompt("third", 500))).Instance.ID, first.Instance.ID)
 	})
 }
 
-// TestReadingIsTold tells the other entries of a long prompt until it is read.
-func TestReadingIsTold(t *testing.T) {
+// TestUnreadPromptsAreReported tells the other entries of a long prompt until it is read.
+func TestUnreadPromptsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9)
-		l := <-acquired(d, prompted("long", minUnreadReported))
+		l := <-acquireAsync(d, requestWithPrompt("long", minUnreadReported))
 		is.Equal(d.LocalLoad().UnreadPromptTokens, map[string]int{"s0": minUnreadReported})
 		l.RecordFirstEvent(minUnreadReported)
 		is.Equal(len(d.LocalLoad().UnreadPromptTokens), 0)
 		l.Release(Served)
-		left := <-acquired(d, prompted("left", minUnreadReported))
+		left := <-acquireAsync(d, requestWithPrompt("left", minUnreadReported))
 		left.Release(Abandoned)
 		is.Equal(len(d.LocalLoad().UnreadPromptTokens), 0)
 	})
 }
 
-// TestBrokenPausesAreAvoided lets a long answer wait for a server without pauses, where it
+// TestStallsAreAvoided lets a long answer wait for a server without pauses, where it
 // can, and sends a short one to the server with them.
-func TestBrokenPausesAreAvoided(t *testing.T) {
+func TestStallsAreAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1, 9)
-		quick := <-acquired(d, prompted("quick", 500))
+		quick := <-acquireAsync(d, requestWithPrompt("quick", 500))
 		for quick.Instance.ID != "s0" {
-			quick = <-acquired(d, prompted("again"+quick.Instance.ID, 500))
+			quick = <-acquireAsync(d, requestWithPrompt("again"+quick.Instance.ID, 500))
 		}
 		quick.RecordLength(60, 10)
 		paused := &Lease{dispatcher: d, server: d.servers["s1"], service: "llm"}
 		for range 100 {
 			paused.RecordEventGap(400 * time.Millisecond)
 		}
-		long := prompted("long", 500)
+		long := requestWithPrompt("long", 500)
 		long.ExpectedTokens = 600
-		waits := acquired(d, long)
+		waits := acquireAsync(d, long)
 		is.Equal(len(waits), 0)
-		short := prompted("short", 500)
-		is.Equal((<-acquired(d, short)).Instance.ID, "s1")
+		short := requestWithPrompt("short", 500)
+		is.Equal((<-acquireAsync(d, short)).Instance.ID, "s1")
 		quick.Release(Served)
 		is.Equal((<-waits).Instance.ID, "s0")
 	})
 }
 
-// TestCallsGoWhereTheyAreInTime lets a call that could have met its target not go to a
+// TestCallsWaitForServersThatMeetTarget lets a call that could have met its target not go to a
 // server at which it will miss it, also when no server can let it meet it any more, and
 // gives it any as soon as it is late.
-func TestCallsGoWhereTheyAreInTime(t *testing.T) {
+func TestCallsWaitForServersThatMeetTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := unlike()
+		d := heterogeneous()
 		for i := range 9 {
-			l := <-acquired(d, prompted(fmt.Sprint("long", i), 6000))
+			l := <-acquireAsync(d, requestWithPrompt(fmt.Sprint("long", i), 6000))
 			is.Equal(l.Instance.ID, "s0")
 			l.RecordFirstEvent(0)
 		}
-		call := prompted("call", 500)
+		call := requestWithPrompt("call", 500)
 		call.Target = time.Now().Add(150 * time.Millisecond)
-		waits := acquired(d, call)
+		waits := acquireAsync(d, call)
 		time.Sleep(140 * time.Millisecond)
 		d.pumpAll()
 		synctest.Wait()
--- a/services/dispatch/notices.go
+++ b/services/dispatch/notices.go
@@ -31,7 +31,7 @@
 // known yet it is kept until it is: an entry that starts is greeted before it has read any.
 type earlyNotice struct {
 	runworks.ServerNotice
-	from string
+	from       string
 	receivedAt time.Time
 }
 
--- a/services/dispatch/permits.go
+++ b/services/dispatch/permits.go
@@ -15,9 +15,9 @@
 	// hand of the servers' limits, and firstBorrowPause the time until the next are, if none
 	// gave anything. It doubles up to lastBorrowPause: while calls press on limits, nobody has
 	// any at hand, and a hundred entries ask four hundred times a second in all.
-	permitRequestTries      = 4
-	minPermitPause = 50 * time.Millisecond
-	maxPermitPause  = time.Second
+	permitRequestTries = 4
+	minPermitPause     = 50 * time.Millisecond
+	maxPermitPause     = time.Second
 )
 
 // PermitTransfer is what an entry asks another for: requests to a server that the other has at hand of
--- a/services/dispatch/ranks_test.go
+++ b/services/dispatch/ranks_test.go
@@ -10,22 +10,22 @@
 	"github.com/matryer/is"
 )
 
-// TestShortCallsLeaveNoSlot lets calls of the lowest rank have every slot once they are
+// TestNoSlotReservedFromShortCalls lets calls of the lowest rank have every slot once they are
 // seen to be shorter than the others.
-func TestShortCallsLeaveNoSlot(t *testing.T) {
+func TestNoSlotReservedFromShortCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(4)
 		for i := range 2 {
-			long := <-acquired(d, ask(fmt.Sprint("long", i), 0))
-			short := <-acquired(d, ask(fmt.Sprint("short", i), 2))
+			long := <-acquireAsync(d, newRequest(fmt.Sprint("long", i), 0))
+			short := <-acquireAsync(d, newRequest(fmt.Sprint("short", i), 2))
 			time.Sleep(100 * time.Millisecond)
 			short.Release(Served)
 			time.Sleep(time.Second)
 			long.Release(Served)
 		}
 		for i := range 4 {
-			_, err := d.Acquire(context.Background(), ask(fmt.Sprint("check", i), 2))
+			_, err := d.Acquire(context.Background(), newRequest(fmt.Sprint("check", i), 2))
 			is.NoErr(err)
 		}
 	})
--- a/services/dispatch/report_test.go
+++ b/services/dispatch/report_test.go
@@ -42,7 +42,7 @@
 		waiting.Release(Abandoned)
 		nothing := func() {
 			t.Helper()
-			_, err := d.Acquire(context.Background(), ask("new", 0))
+			_, err := d.Acquire(context.Background(), newRequest("new", 0))
 			is.True(errors.Is(err, runworks.ErrNoServer))
 			is.Equal(d.TransferPermits("s0/100", 1), 0)
 		}
@@ -129,7 +129,7 @@
 		draining.Draining = true
 		nothing := func(d *Dispatcher) {
 			t.Helper()
-			_, err := d.Acquire(context.Background(), ask("new", 0))
+			_, err := d.Acquire(context.Background(), newRequest("new", 0))
 			is.True(errors.Is(err, runworks.ErrNoServer))
 		}
 		d.SetServers([]runworks.Instance{ready})
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -58,11 +58,11 @@
 	}
 	now := time.Now()
 	for i := range waiting {
-		ask := &Request{
+		req := &Request{
 			ID: runworks.RequestID(fmt.Sprint("r", i)), Service: "llm", RouteRank: 1, PromptTokens: 1000, ExpectedTokens: 50, Customer: fmt.Sprint("c", i%40),
 			Target: now.Add(time.Hour), Deadline: now.Add(time.Hour),
 		}
-		go func() { _, _ = d.Acquire(ctx, ask) }()
+		go func() { _, _ = d.Acquire(ctx, req) }()
 	}
 	for d.WaitingCalls()["llm"] < waiting-8 {
 		time.Sleep(time.Millisecond)
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestDifferencesAddUp lets entries tell and go, and servers come and go, at random: what
+// TestIncrementalCounts lets entries tell and go, and servers come and go, at random: what
 // is counted from each heartbeat's differences is the sum of all entries' last words.
-func TestDifferencesAddUp(t *testing.T) {
+func TestIncrementalCounts(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(7, 7))
 	d := &Dispatcher{Hall: "a"}
@@ -87,24 +87,24 @@
 		case 1:
 			d.SetServers(instances(make([]int, rng.IntN(20))...))
 		default:
-			d.SetPeerLoad(life, drawnLoad(rng))
+			d.SetPeerLoad(life, randomLoad(rng))
 		}
-		got := sums(d)
+		got := peerCounts(d)
 		for _, s := range d.servers {
 			s.peerCalls, s.peerUnread, s.peerErrors, s.peerEjections = 0, 0, 0, 0
 		}
 		for _, load := range d.peers {
 			d.addPeerLoadLocked(&load, 1)
 		}
-		is.Equal(got, sums(d))
+		is.Equal(got, peerCounts(d))
 		for _, s := range d.servers {
 			is.Equal(s.peerEjectedSince.IsZero(), s.peerEjections == 0)
 		}
 	}
 }
 
-// drawnLoad is what an entry might tell.
-func drawnLoad(rng *rand.Rand) runworks.EntryLoad {
+// randomLoad is what an entry might tell.
+func randomLoad(rng *rand.Rand) runworks.EntryLoad {
 	counts := func() map[string]int {
 		out := map[string]int{}
 		for range rng.IntN(4) {
@@ -119,8 +119,8 @@
 	return load
 }
 
-// sums gives what a dispatcher counts of the other entries at each server.
-func sums(d *Dispatcher) map[string][4]int {
+// peerCounts gives what a dispatcher counts of the other entries at each server.
+func peerCounts(d *Dispatcher) map[string][4]int {
 	out := map[string][4]int{}
 	for id, s := range d.servers {
 		out[id] = [4]int{s.peerCalls, s.peerUnread, s.peerErrors, s.peerEjections}
@@ -128,9 +128,9 @@
 	return out
 }
 
-// TestShortCallsTakeNoTurns sends a call that is over before others hear of it to a free
+// TestShortCallsSkipTurns sends a call that is over before others hear of it to a free
 // slot at once, whoever else said to wait for it.
-func TestShortCallsTakeNoTurns(t *testing.T) {
+func TestShortCallsSkipTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(6)
@@ -142,15 +142,15 @@
 		for i := range 20 {
 			d.SetPeerLoad(runworks.Incarnation(fmt.Sprint("rival-", i)), runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1000}}})
 		}
-		d.SetPeerLoad("busy", runs(runworks.RunningCalls{"s0": 5}))
+		d.SetPeerLoad("busy", runningLoad(runworks.RunningCalls{"s0": 5}))
 		d.LocalLoad() // the others know by now of the slots that calls left here
-		is.Equal(len(acquired(d, ask("short", 0))), 1)
+		is.Equal(len(acquireAsync(d, newRequest("short", 0))), 1)
 	})
 }
 
-// TestManyEntriesDoubtTogether leaves a server out for the word of one other entry where
+// TestEjectionByPeers leaves a server out for the word of one other entry where
 // there are few, and of some where there are many.
-func TestManyEntriesDoubtTogether(t *testing.T) {
+func TestEjectionByPeers(t *testing.T) {
 	for _, c := range []struct{ entries, needed int }{{4, 1}, {29, 1}, {102, 3}, {360, 8}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
--- a/services/dispatch/server.go
+++ b/services/dispatch/server.go
@@ -13,7 +13,7 @@
 	// minEjection doubles with each further failure up to lastSuspension, so
 	// that a server that is back is used again within a few seconds.
 	minEjection = 250 * time.Millisecond
-	maxEjection  = 4 * time.Second
+	maxEjection = 4 * time.Second
 	// fullPause is how long a server that turned a call away as full is left out:
 	// about the time in which one of its slots becomes free.
 	fullPause = 30 * time.Millisecond
@@ -34,8 +34,8 @@
 	incarnation string
 	// leases are those that calls of this entry hold, and ended says that the server
 	// started again since.
-	leases map[*Lease]struct{}
-	restarted  bool
+	leases    map[*Lease]struct{}
+	restarted bool
 	// ownCalls is how many calls of this entry it has now.
 	ownCalls int
 	// peerCalls is how many calls the other entries said they have there.
@@ -65,7 +65,7 @@
 	wasUnresponsive bool
 	// peerEjections is how many other entries leave it out, and doubted since when some do;
 	// zero if none does.
-	peerEjections  int
+	peerEjections    int
 	peerEjectedSince time.Time
 	// fullUntil is until when it is taken to be fullUntil.
 	fullUntil time.Time
--- a/services/dispatch/start_estimate_test.go
+++ b/services/dispatch/start_estimate_test.go
@@ -14,18 +14,18 @@
 	"github.com/runworks/runworks"
 )
 
-// TestLongCallsGiveWayLate lets calls come late for a service all of whose slots are taken:
+// TestLongLateCallsRefusedFirst lets calls come late for a service all of whose slots are taken:
 // one that would keep its slot for long is refused sooner, and waits like the others where
 // few wait ahead.
-func TestLongCallsGiveWayLate(t *testing.T) {
+func TestLongLateCallsRefusedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(8)
 		began := time.Now()
 		for i := range 8 {
-			a := ask(fmt.Sprint("known-", i), 2)
+			a := newRequest(fmt.Sprint("known-", i), 2)
 			a.ExpectedTokens = 100
-			lease := <-acquired(d, a)
+			lease := <-acquireAsync(d, a)
 			time.AfterFunc(time.Second, func() {
 				for range 10 {
 					lease.RecordEventGap(100 * time.Millisecond)
@@ -36,11 +36,11 @@
 		}
 		time.Sleep(1100 * time.Millisecond)
 		for i := range 8 {
-			is.True((<-acquired(d, ask(fmt.Sprint("holds-", i), 2))) != nil)
+			is.True((<-acquireAsync(d, newRequest(fmt.Sprint("holds-", i), 2))) != nil)
 		}
 		is.True(time.Since(began) < 2*time.Second)
 		late := func(id string, tokens int) *Request {
-			a := ask(id, 2)
+			a := newRequest(id, 2)
 			a.ExpectedTokens = tokens
 			a.Target = time.Now()
 			a.CallerTimeout = time.Now().Add(3 * time.Second)
--- a/services/dispatch/turn.go
+++ b/services/dispatch/turn.go
@@ -52,9 +52,9 @@
 // contenders returns the entries whose calls compete with one of a rank.
 func (d *Dispatcher) contenders(service string, rank int) []contender {
 	out := make([]contender, 0, len(d.peers))
-	for life, load := range d.peers {
+	for id, load := range d.peers {
 		if w, ok := load.Waiting[service]; ok && w.Rank <= rank {
-			out = append(out, contender{entry: life, WaitingCall: w})
+			out = append(out, contender{entry: id, WaitingCall: w})
 		}
 	}
 	return out
--- a/services/dispatch/turn_test.go
+++ b/services/dispatch/turn_test.go
@@ -11,11 +11,11 @@
 	"github.com/runworks/runworks"
 )
 
-// fleet is entries that know each other, before one server of one slot.
-type fleet []*Dispatcher
+// entrySet is entries that know each other, before one server of one slot.
+type entrySet []*Dispatcher
 
-func newFleet(n int) fleet {
-	var all fleet
+func newEntries(n int) entrySet {
+	var all entrySet
 	for i := range n {
 		d := newDispatcher(1)
 		d.Self = runworks.Incarnation(fmt.Sprint("entry-", i))
@@ -24,8 +24,8 @@
 	return all
 }
 
-// tell lets all entries hear what the others have, as one heartbeat does.
-func (f fleet) tell() {
+// heartbeat lets all entries hear what the others have, as one heartbeat does.
+func (f entrySet) heartbeat() {
 	for _, from := range f {
 		load := from.LocalLoad()
 		for _, to := range f {
@@ -38,13 +38,13 @@
 }
 
 // fill lets another entry have the only slot, and free ends that at all entries.
-func (f fleet) fill() {
+func (f entrySet) fill() {
 	for _, d := range f {
-		d.SetPeerLoad("elsewhere", runs(runworks.RunningCalls{"s0": 1}))
+		d.SetPeerLoad("elsewhere", runningLoad(runworks.RunningCalls{"s0": 1}))
 	}
 }
 
-func (f fleet) free() {
+func (f entrySet) free() {
 	for _, d := range f {
 		d.RemovePeer("elsewhere")
 	}
@@ -60,23 +60,23 @@
 	return n
 }
 
-// TestFreeSlotGoesToOneEntry frees the only slot while every entry has a call
+// TestFreeSlotUsedByOneEntry frees the only slot while every entry has a call
 // waiting: one of them takes it, and the next only if the first does not say so.
-func TestFreeSlotGoesToOneEntry(t *testing.T) {
+func TestFreeSlotUsedByOneEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		all := newFleet(8)
+		all := newEntries(8)
 		all.fill()
 		var waiting []<-chan *Lease
 		for i, d := range all {
-			waiting = append(waiting, acquired(d, ask(fmt.Sprint(i), 0)))
+			waiting = append(waiting, acquireAsync(d, newRequest(fmt.Sprint(i), 0)))
 		}
-		all.tell()
+		all.heartbeat()
 		all.free()
 		is.Equal(started(waiting), 1)
 		for range 10 { // what runs is known now: nobody else starts
 			time.Sleep(turnDuration / 2)
-			all.tell()
+			all.heartbeat()
 			for _, d := range all {
 				d.pumpAll()
 			}
@@ -93,10 +93,10 @@
 		is := is.New(t)
 		d := newDispatcher(1)
 		d.Self = "here"
-		load := runs(runworks.RunningCalls{"s0": 1})
+		load := runningLoad(runworks.RunningCalls{"s0": 1})
 		load.Waiting = runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1_000_000}}
 		d.SetPeerLoad("first", load)
-		waiting := acquired(d, ask("waits", 0))
+		waiting := acquireAsync(d, newRequest("waits", 0))
 		load.Running = nil
 		d.SetPeerLoad("first", load)
 		synctest.Wait()
@@ -108,19 +108,19 @@
 	})
 }
 
-// TestHigherRankElsewhereGoesFirst leaves a free slot to the entry with the more
+// TestHigherRankAtOtherEntryFirst leaves a free slot to the entry with the more
 // urgent call, however many less urgent ones wait here.
-func TestHigherRankElsewhereGoesFirst(t *testing.T) {
+func TestHigherRankAtOtherEntryFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		all := newFleet(2)
+		all := newEntries(2)
 		all.fill()
 		var low []<-chan *Lease
 		for i := range 20 {
-			low = append(low, acquired(all[0], ask(fmt.Sprint("low", i), 1)))
+			low = append(low, acquireAsync(all[0], newRequest(fmt.Sprint("low", i), 1)))
 		}
-		urgent := acquired(all[1], ask("urgent", 0))
-		all.tell()
+		urgent := acquireAsync(all[1], newRequest("urgent", 0))
+		all.heartbeat()
 		all.free()
 		is.Equal(started(low), 0)
 		is.Equal(len(urgent), 1)
@@ -128,16 +128,16 @@
 	})
 }
 
-// TestOwnSlotIsUsedAgain gives a slot that a call left to one that waits here, as the
+// TestOwnFreedSlotIsReused gives a slot that a call left to one that waits here, as the
 // others do not know yet that it is free.
-func TestOwnSlotIsUsedAgain(t *testing.T) {
+func TestOwnFreedSlotIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
 		d.Self = "here"
 		first := taken(t, d, "first")
 		d.SetPeerLoad("other", runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1_000_000}}})
-		waiting := acquired(d, ask("waits", 0))
+		waiting := acquireAsync(d, newRequest("waits", 0))
 		first.Release(Served)
 		synctest.Wait()
 		is.Equal(len(waiting), 1)
