--- a/services/forward/suspend_test.go
+++ b/services/forward/suspend_test.go
@@ -30,10 +30,11 @@
 			// The call waits while the host is suspended.
 			opened := make(chan struct{})
 			f.Ready = opened
-			time.AfterFunc(0, func() {
+			go func() {
+				synctest.Wait() // until Serve waits for Ready
 				f.AddSuspension(tc.lost)
 				close(opened)
-			})
+			}()
 			_, err := f.Serve(context.Background(), in)
 			if tc.left > 0 {
 				is.NoErr(err)
--- a/services/peers/scale_test.go
+++ b/services/peers/bench_test.go
@@ -15,14 +15,15 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// BenchmarkBeat sends a heartbeat of an entry under load to another, which takes it in.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkHeartbeat sends the heartbeat of an entry under load to another one, which processes
+// it.
+func BenchmarkHeartbeat(b *testing.B) {
 	is := is.New(b)
 	network := memnet.New(0)
 	defer network.Close()
 	to := startEntry(b, network, "b", "key")
 	defer to.cancel()
-	beat := busyBeat()
+	beat := loadedHeartbeat()
 	from := &Exchange{
 		Self: beat.From, Dial: network.Dialer("a"), Keys: rpc.FleetKeys{"key"}, Logger: hclog.NewNullLogger(),
 		Heartbeat: func() Heartbeat { return Heartbeat{} }, LimitSnapshot: func() runworks.LimitUse { return runworks.LimitUse{} },
@@ -37,22 +38,22 @@
 		data, err := from.encoder.encode(beat)
 		is.NoErr(err)
 		near, _ := from.conns()
-		from.send(context.Background(), near, data, beat)
-		for to.routingOf(beat.From.Incarnation) != beat.RoutingVersion {
+		from.sendTo(context.Background(), near, data, beat)
+		for to.routingVersionOf(beat.From.Incarnation) != beat.RoutingVersion {
 			runtime.Gosched()
 		}
 	}
 }
 
-// routingOf gives which routing an entry heard to be in force at another.
-func (e *entry) routingOf(life runworks.Incarnation) int64 {
+// routingVersionOf returns the routing version that an incarnation last sent to the entry.
+func (e *entry) routingVersionOf(incarnation runworks.Incarnation) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.heard[life].RoutingVersion
+	return e.peers[incarnation].RoutingVersion
 }
 
-// busyBeat is what an entry of a large fleet tells under load.
-func busyBeat() *Heartbeat {
+// loadedHeartbeat returns a heartbeat as a large installation sends it under load.
+func loadedHeartbeat() *Heartbeat {
 	b := &Heartbeat{
 		From:      Member{Name: "a", Address: "a:1", Incarnation: runworks.NewIncarnation()},
 		Positions: map[Subject]runworks.Position{SubjectRouting: {Era: 1, Offset: 12}, SubjectServers: {Era: 1, Offset: 1234}},
@@ -64,7 +65,9 @@
 	}
 	b.Limits = runworks.LimitUse{Version: 1234, Customers: map[string]runworks.CustomerUse{}}
 	for i := range 20 {
-		b.Limits.Customers[fmt.Sprintf("customer-%d", i)] = runworks.CustomerUse{Consumed: 123456 + float64(i), ConsumedInWindow: 23456, Reserved: 3456}
+		b.Limits.Customers[fmt.Sprintf("customer-%d", i)] = runworks.CustomerUse{
+			Consumed: 123456 + float64(i), ConsumedInWindow: 23456, Reserved: 3456,
+		}
 	}
 	return b
 }
--- a/services/peers/doc.go
+++ b/services/peers/doc.go
@@ -1,3 +1,3 @@
-// Package peers lets the entries tell each other what they run and what they
-// drew on the customers' limits, so that each decides with the load of all.
+// Package peers connects the entries with each other. They exchange heartbeats with their load
+// and their use of the customers' limits, so that each decides with the state of all.
 package peers
--- a/services/peers/link.go
+++ b/services/peers/link.go
@@ -11,42 +11,42 @@
 	"github.com/runworks/runworks/modules/rpc"
 )
 
-// link is the connection to one other entry.
+// link maintains the outbound connection to one other entry.
 type link struct {
 	member Member
 	cancel context.CancelFunc
 	conn   *rpc.Conn
-	// wake ends the wait before the next attempt to reach the entry.
+	// wake ends the wait before the next attempt to connect.
 	wake notify.Wake
 }
 
-// reach has an entry that was just heard greeted at once, as it may know nothing yet. A
-// connection to a life that is over is given up: without a reset it would seem open until
-// its silence is noticed.
-func (l *link) reach(replaced bool) {
+// reconnect triggers an immediate handshake with an entry that was just discovered, as it may
+// know nothing yet. It closes a connection to a previous incarnation: without a reset that would
+// seem open until the entry times out.
+func (l *link) reconnect(replaced bool) {
 	if replaced && l.conn != nil {
 		_ = l.conn.Close()
 	}
 	l.wake.Signal()
 }
 
-// SetMembers makes entries known. An entry that is not on the list stays known:
-// it may have been heard before it was listed.
+// SetMembers connects to the listed entries. Entries that are not listed stay connected: they may
+// have been discovered before they were listed.
 func (x *Exchange) SetMembers(members []Member) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.listed = true
+	x.membersKnown = true
 	for _, m := range members {
-		// The list may be older than what was heard: a record of a life before.
-		if life := x.lives[m.Name]; x.heard[life] == nil || life == m.Incarnation {
-			x.linkLocked(m)
+		// The list may be outdated and hold the record of a previous incarnation.
+		if current := x.incarnations[m.Name]; x.peers[current] == nil || current == m.Incarnation {
+			x.ensureLinkLocked(m)
 		}
 	}
 }
 
-// linkLocked keeps a connection to another entry at its newest address; it says whether
-// that is a new one.
-func (x *Exchange) linkLocked(m Member) bool {
+// ensureLinkLocked creates the link to an entry, or replaces it if the entry's address changed.
+// It reports whether the link is new.
+func (x *Exchange) ensureLinkLocked(m Member) bool {
 	if m.Name == x.Self.Name {
 		return false
 	}
@@ -62,23 +62,23 @@
 	ctx, cancel := context.WithCancel(x.ctxLocked())
 	l := &link{member: m, cancel: cancel}
 	x.links[m.Name] = l
-	x.work.Go(func() { x.keep(ctx, l) })
+	x.work.Go(func() { x.maintain(ctx, l) })
 	return true
 }
 
-// keep dials an entry again and again until ctx ends.
-func (x *Exchange) keep(ctx context.Context, l *link) {
-	wait := firstRedial
+// maintain keeps an entry connected until ctx is cancelled.
+func (x *Exchange) maintain(ctx context.Context, l *link) {
+	wait := minRedialWait
 	for ctx.Err() == nil {
 		stream, err := rpc.Dial(ctx, x.Dial, l.member.Address, x.Keys)
 		if err != nil {
 			pause.Until(ctx, wait, l.wake.C())
-			wait = min(2*wait, lastRedial)
+			wait = min(2*wait, maxRedialWait)
 			continue
 		}
-		wait = firstRedial
-		conn := rpc.ServeFrames(ctx, stream, refuse, nil)
-		x.greet(ctx, l, conn)
+		wait = minRedialWait
+		conn := rpc.ServeFrames(ctx, stream, rejectCall, nil)
+		x.handshake(ctx, l, conn)
 		x.Logger.Info("dependency regained", "dependency", "entry", "name", l.member.Name, "address", l.member.Address)
 		select {
 		case <-conn.DisconnectNotify():
@@ -90,16 +90,16 @@
 	}
 }
 
-// greet tells an entry what a new life of it needs, and lets heartbeats follow.
-func (x *Exchange) greet(ctx context.Context, l *link, conn *rpc.Conn) {
+// handshake sends the full state to an entry, and enables heartbeats on its connection.
+func (x *Exchange) handshake(ctx context.Context, l *link, conn *rpc.Conn) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	x.telling.Lock()
-	defer x.telling.Unlock()
+	x.sendMu.Lock()
+	defer x.sendMu.Unlock()
 	b := x.Heartbeat()
 	b.From, b.Limits = x.Self, x.LimitSnapshot()
-	b.tellOffsets()
-	b.Names = x.encoder.names[:x.encoder.told]
+	b.fillOffsets()
+	b.Names = x.encoder.names[:x.encoder.sent]
 	if x.Suspects != nil {
 		b.Suspects = x.Suspects()
 	}
@@ -107,8 +107,8 @@
 		b.ServerNotices = x.ServerNotices()
 	}
 	if err := conn.Notify(ctx, MethodHandshake, b); err != nil {
-		x.Logger.Warn("an entry could not be greeted", "name", l.member.Name, "error", err.Error())
-		_ = conn.Close() // dialled again
+		x.Logger.Warn("handshake could not be sent", "name", l.member.Name, "error", err.Error())
+		_ = conn.Close() // maintain dials again
 	}
 	x.setConn(l, conn)
 }
@@ -119,12 +119,12 @@
 	l.conn = conn
 }
 
-// refuse answers calls on connections that only send.
-func refuse(_ context.Context, method string, _ json.RawMessage) (any, error) {
+// rejectCall answers calls on connections that are used for sending only.
+func rejectCall(_ context.Context, method string, _ json.RawMessage) (any, error) {
 	return nil, errorx.UnsupportedOperation.New("no method %s on this connection", method)
 }
 
-// Connected says whether the named entry can be asked.
+// Connected reports whether there is a connection to the named entry.
 func (x *Exchange) Connected(name string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -132,7 +132,8 @@
 	return l != nil && l.conn != nil
 }
 
-// RequestState asks the named entry for what it knows of a subject.
+// RequestState requests the named entry's state of a subject and decodes it into out. It fails if
+// there is no connection, or if the entry does not answer within 1 s.
 func (x *Exchange) RequestState(ctx context.Context, name string, subject Subject, out any) error {
 	x.mu.Lock()
 	var conn *rpc.Conn
@@ -146,7 +147,7 @@
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := conn.Call(ctx, MethodState, StateRequest{Subject: subject}, out); err != nil {
-		return errorx.Decorate(err, "ask %s for %s", name, subject)
+		return errorx.Decorate(err, "request from %s the state of %s", name, subject)
 	}
 	return nil
 }
--- a/services/peers/eras_test.go
+++ b/services/peers/offsets_test.go
@@ -13,24 +13,25 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// TestOffsetsWithoutEras hears an entry of a version that tells offsets alone: they are no
-// positions, and it reads the store for nobody here. It is told offsets that it can read.
+// TestOffsetsWithoutEras connects entries of a version that sends offsets without eras. They must
+// not be used as positions, and such an entry must not be counted as a reader of the store. In
+// the other direction, heartbeats carry offsets that it can read.
 func TestOffsetsWithoutEras(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, _ *entry) {
 		readers := 0
-		conn := rpc.Serve(context.Background(), dialled(is, network), refuse)
+		conn := rpc.Serve(context.Background(), dialEntry(is, network), rejectCall)
 		for _, name := range []string{"old-1", "old-2", "old-3", "old-4", "old-5", "old-6"} {
-			beat := map[string]any{
+			heartbeat := map[string]any{
 				"from":      Member{Name: name, Address: name + ":1", Incarnation: runworks.Incarnation(name)},
 				"positions": map[Subject]int64{SubjectServers: 9},
 			}
-			is.NoErr(conn.Notify(context.Background(), MethodHandshake, beat))
+			is.NoErr(conn.Notify(context.Background(), MethodHandshake, heartbeat))
 			time.Sleep(10 * time.Millisecond)
 			a.mu.Lock()
-			heard := a.heard[runworks.Incarnation(name)]
+			received := a.peers[runworks.Incarnation(name)]
 			a.mu.Unlock()
-			is.Equal(len(heard.Positions), 0)
-			is.True(heard.noEras())
+			is.Equal(len(received.Positions), 0)
+			is.True(received.offsetsOnly())
 			if a.ReadsStore(false) {
 				readers++
 			}
@@ -40,7 +41,7 @@
 	})
 	is := is.New(t)
 	b := &Heartbeat{Positions: map[Subject]runworks.Position{SubjectServers: {Era: 3, Offset: 7}}}
-	b.tellOffsets()
+	b.fillOffsets()
 	data, err := json.Marshal(b)
 	is.NoErr(err)
 	var old struct {
@@ -48,18 +49,18 @@
 	}
 	is.NoErr(json.Unmarshal(data, &old))
 	is.Equal(old.Positions[SubjectServers], int64(7))
-	is.True(!b.noEras())
+	is.True(!b.offsetsOnly())
 }
 
-// TestListOlderThanWhatIsHeard keeps the connection to an entry that is heard, though the list
-// of entries names the address of its life before.
-func TestListOlderThanWhatIsHeard(t *testing.T) {
+// TestOutdatedMemberList checks that the member list does not replace the connection to a live
+// entry, if it holds the address of a previous incarnation.
+func TestOutdatedMemberList(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, b *entry) {
 		time.Sleep(time.Second)
 		is.True(a.Connected("b"))
-		before := b.Self
-		before.Address, before.Incarnation = "gone:1", "life before"
-		a.SetMembers([]Member{before})
+		previous := b.Self
+		previous.Address, previous.Incarnation = "gone:1", "b-previous-life"
+		a.SetMembers([]Member{previous})
 		is.True(a.Connected("b"))
 		time.Sleep(time.Second)
 		is.True(a.Connected("b"))
--- a/services/peers/peers.go
+++ b/services/peers/peers.go
@@ -14,191 +14,195 @@
 	"github.com/runworks/runworks/modules/rpc"
 )
 
-// The methods between entries.
+// The RPC methods between entries.
 const (
-	// MethodHeartbeat is the notification that carries a Beat.
+	// MethodHeartbeat is the notification that carries a Heartbeat.
 	MethodHeartbeat = "entry.beat"
-	// MethodHandshake is the first notification on a connection: a Beat that tells all of
-	// the limits, where others tell what is new.
+	// MethodHandshake is the first notification on a connection: a Heartbeat with the full use of
+	// the customers' limits, where later ones carry the changes.
 	MethodHandshake = "entry.greet"
-	// MethodSuspects is the notification of requests under which backend servers ended.
-	// Versions that do not know it pass it over.
+	// MethodSuspects is the notification that carries Suspects. Versions that do not know it
+	// ignore it.
 	MethodSuspects = "entry.suspects"
-	// MethodServerNotices is the notification of what backend servers say of themselves.
-	// Versions that do not know it pass it over.
+	// MethodServerNotices is the notification that carries ServerNotices. Versions that do not
+	// know it ignore it.
 	MethodServerNotices = "entry.server_words"
-	// MethodTransferPermits is the call for what an entry has at hand of a backend server's limit.
+	// MethodTransferPermits is the call that requests permits of a backend server's rate limit.
 	MethodTransferPermits = "entry.lend"
-	// MethodState is the call for what an entry knows of a Subject.
+	// MethodState is the call that returns an entry's state of a Subject.
 	MethodState = "entry.state"
 )
 
-// Subject names something that all entries follow.
+// Subject names a set of data that all entries follow.
 type Subject string
 
-// The subjects.
+// The subjects that entries follow.
 const (
 	SubjectRouting Subject = "routing"
 	SubjectServers Subject = "servers"
 	SubjectLimits  Subject = "limits"
 )
 
-// StateRequest asks for what an entry knows.
+// StateRequest requests an entry's state of a subject.
 type StateRequest struct {
 	Subject Subject `json:"subject"`
 }
 
 const (
-	// DefaultInterval is the time between heartbeats: about the time in which a few
-	// slots of a service become free.
+	// DefaultInterval is the time between heartbeats: about the time in which a few slots of a
+	// service become free.
 	DefaultInterval = 50 * time.Millisecond
-	// everyPerPeer stretches the time between heartbeats with the number of
-	// entries, so that their cost to an entry stays bounded: it hears five hundred a
-	// second of near ones at most.
-	everyPerPeer = 2 * time.Millisecond
-	// farPerPeer is the same for each entry of another hall where there are many
-	// (runworks.ManyEntries): most calls stay in their hall, so what is known there may be
-	// older.
-	farPerPeer = 5 * time.Millisecond
-	// quietEvery is the time between heartbeats with nothing new, well below what
-	// counts as silence.
-	quietEvery = 250 * time.Millisecond
-	// silentAfter is when an entry that sent no heartbeat counts as gone, and
-	// what it ran as ended or cut off.
-	silentAfter = 1500 * time.Millisecond
-	// missedBeats is how many heartbeats must have been missed at least: with 360 entries
-	// those of other halls come every 1.4 s, and each would count as gone again and again.
-	missedBeats = 3
-	// SettleTimeout bounds how long an entry that starts waits to hear one of those that are
-	// listed: some times what a connection takes to open. What they drew of the customers'
-	// limits since the last record it learns from them alone: one that serves before lets a
-	// customer through that has just drawn all of its limit elsewhere.
+	// intervalPerPeer is the least time between heartbeats per local entry. It bounds the cost to
+	// an entry, which receives at most 500 heartbeats per second from local ones.
+	intervalPerPeer = 2 * time.Millisecond
+	// remoteIntervalPerPeer is the same per remote entry, if there are more than
+	// runworks.ManyEntriesThreshold. Most calls stay in their hall, so what is known of other
+	// halls may be older.
+	remoteIntervalPerPeer = 5 * time.Millisecond
+	// idleInterval is the time between heartbeats without changes, well below minPeerTimeout.
+	idleInterval = 250 * time.Millisecond
+	// minPeerTimeout is the least time without a heartbeat after which an entry is considered
+	// gone, and the calls it ran as ended or cut off.
+	minPeerTimeout = 1500 * time.Millisecond
+	// missedHeartbeats is the least number of heartbeats an entry must have missed to be
+	// considered gone. With 360 entries those of other halls arrive every 1.4 s, so that a fixed
+	// timeout would remove live entries again and again.
+	missedHeartbeats = 3
+	// SettleTimeout bounds how long a starting entry waits for the first heartbeat of a listed
+	// entry: several times the time in which a connection opens. Only the other entries know what
+	// was consumed of the customers' limits since the last record. An entry that serves earlier
+	// would admit calls of a customer that has just used up its limit elsewhere.
 	SettleTimeout = 150 * time.Millisecond
-	// firstRedial and lastRedial are the waits between attempts to reach an entry.
-	firstRedial = 100 * time.Millisecond
-	lastRedial  = 2 * time.Second
-	sendTimeout = time.Second
+	// minRedialWait and maxRedialWait bound the wait between attempts to connect to an entry; it
+	// doubles with each failure.
+	minRedialWait = 100 * time.Millisecond
+	maxRedialWait = 2 * time.Second
+	sendTimeout   = time.Second
 )
 
-// Member is an entry that others may reach.
+// Member identifies an entry and where other entries connect to it.
 type Member struct {
 	Name string `json:"name"`
-	// Address is host:port for the other entries.
+	// Address is host:port for connections of other entries.
 	Address string `json:"address"`
-	// Hall is where it stands; empty from versions that do not tell it.
+	// Hall is the entry's hall; empty from versions that do not send it.
 	Hall        string               `json:"hall,omitempty"`
 	Incarnation runworks.Incarnation `json:"incarnation"`
 }
 
-// Heartbeat is what an entry tells the others.
+// Heartbeat is the state that an entry sends to the others.
 type Heartbeat struct {
 	From Member `json:"from"`
-	// Load is what the entry runs and what waits there.
+	// Load holds the entry's running and waiting calls.
 	Load runworks.EntryLoad `json:"load"`
-	// Limits is what is new of the entry's use of the customers' limits; in a greeting
-	// it is all that the entry used in the window.
+	// Limits holds the changes of the entry's use of the customers' limits; in a handshake it
+	// holds all that the entry used in the window.
 	Limits runworks.LimitUse `json:"limits"`
-	// RoutingVersion is the version of the routing in force there.
+	// RoutingVersion is the version of the entry's active routing.
 	RoutingVersion int64 `json:"routing_version,omitempty"`
-	// Positions tell how far the entry has followed each subject.
+	// Positions holds how far the entry has read each subject.
 	Positions map[Subject]runworks.Position `json:"topic_positions,omitempty"`
-	// Offsets are Positions without their eras, for versions that know of none. They are only
-	// written: without its era an offset can't be compared.
+	// Offsets holds Positions without their eras, for versions that do not know eras. Current
+	// versions write but do not read it, since offsets of different eras can't be compared.
 	Offsets map[Subject]int64 `json:"positions,omitempty"`
-	// StoreLost says that the entry could not read the store of late.
+	// StoreLost is set if the entry recently failed to read the store.
 	StoreLost bool `json:"store_lost,omitempty"`
-	// Changes are what the entry read from the store since its last heartbeat; only frames
-	// tell them.
+	// Changes holds what the entry read from the store since its last heartbeat. Only frames
+	// carry it.
 	Changes []Change `json:"-"`
-	// Suspects are all requests under which backend servers ended; only greetings tell them.
+	// Suspects holds all requests to which exits of backend servers were attributed. Only
+	// handshakes carry it.
 	Suspects []runworks.Suspect `json:"suspects,omitempty"`
-	// ServerNotices is all that backend servers say of themselves; only greetings tell it.
+	// ServerNotices holds the current notices of all backend servers. Only handshakes carry it.
 	ServerNotices []runworks.ServerNotice `json:"server_words,omitempty"`
-	// Names are those of the frames that follow a greeting, by their numbers.
+	// Names holds the names that the frames after a handshake refer to, by index.
 	Names []string `json:"names,omitempty"`
 }
 
-// Exchange keeps the entries in touch; set the exported fields before Run.
+// Exchange keeps the connections between this entry and the others. Its exported fields must be
+// set before Run.
 type Exchange struct {
 	Self   Member
 	Dial   rpc.DialFunc
 	Keys   rpc.FleetKeys
 	Logger hclog.Logger
-	// Interval is DefaultEvery if zero.
+	// Interval is the time between heartbeats; DefaultInterval if zero.
 	Interval time.Duration
-	// Heartbeat gives what this entry tells; From and Limits are filled in.
+	// Heartbeat returns the state to send. Exchange sets From, Limits and Changes.
 	Heartbeat func() Heartbeat
-	// LimitUpdates gives the limits' part of a heartbeat, and LimitSnapshot that of a greeting.
+	// LimitUpdates returns Heartbeat.Limits of a heartbeat, and LimitSnapshot that of a
+	// handshake.
 	LimitUpdates, LimitSnapshot func() runworks.LimitUse
-	// OnHeartbeat is told what another entry said, and OnGone which one fell silent.
+	// OnHeartbeat is called with each heartbeat and handshake of another entry, and OnUnreachable
+	// with the incarnation of an entry that timed out.
 	OnHeartbeat   func(now time.Time, b *Heartbeat)
 	OnUnreachable func(from runworks.Incarnation)
-	// OnHandshake is told, ahead of OnBeat, what another entry says first.
+	// OnHandshake is called with each handshake of another entry, before OnHeartbeat.
 	OnHandshake func(now time.Time, b *Heartbeat)
-	// Suspects gives the requests that a greeting tells of, and OnSuspects is told what
-	// another entry told of some; nil gives none and tells nobody.
+	// Suspects returns the suspects that a handshake carries, and OnSuspects is called with those
+	// that another entry sent and that entry's name. Both may be nil.
 	Suspects   func() []runworks.Suspect
 	OnSuspects func(from string, list []runworks.Suspect)
-	// ServerNotices gives what backend servers say of themselves, for a greeting, and
-	// OnServerWords is told what another entry told of some; nil gives none and tells nobody.
+	// ServerNotices returns the notices that a handshake carries, and OnServerNotices is called
+	// with those that another entry sent and that entry's name. Both may be nil.
 	ServerNotices   func() []runworks.ServerNotice
 	OnServerNotices func(from string, list []runworks.ServerNotice)
-	// TransferPermits gives away requests that this entry has at hand of a backend server's limit, as far
-	// as it has no use for them; nil gives none.
-	TransferPermits func(server string, requests int) int
-	// OnSettled is told that this entry has waited long enough to hear another; nil tells
-	// nobody.
+	// TransferPermits gives up at most the given number of permits for a backend server that this
+	// entry does not need itself, and returns how many. May be nil, which returns none.
+	TransferPermits func(server string, permits int) int
+	// OnSettled is called SettleTimeout after the start of Run. May be nil.
 	OnSettled func()
-	// OnReplaced is told which life of an entry is over, as a new one was heard.
+	// OnReplaced is called with the previous incarnation of an entry that restarted.
 	OnReplaced func(old runworks.Incarnation)
-	// State gives what this entry knows of a subject, for others.
+	// State returns this entry's state of a subject, as the answer to RequestState.
 	State func(s Subject) (any, error)
 
 	work group.Group
-	// telling keeps a greeting from missing what is new in a heartbeat that others get;
-	// it guards encoder.
-	telling sync.Mutex
+	// sendMu orders heartbeats, handshakes and notifications, so that a new connection misses no
+	// change that is sent while its handshake is prepared. It guards encoder, unsentRemote and
+	// remoteSentAt.
+	sendMu  sync.Mutex
 	encoder encoder
-	// untold is what far entries were not told yet of the customers' limits, and farTold when
-	// they were told last.
-	untold  map[string]runworks.CustomerUse
-	farTold time.Time
-	mu      sync.Mutex
-	// ctx ends with Run; connections may be asked for before it.
-	ctx   context.Context
-	end   context.CancelFunc
-	links map[string]*link
-	heard map[runworks.Incarnation]*life
-	// began is when Run did, and listed says that the list of entries was read.
-	began  time.Time
-	listed bool
-	// lives holds the newest life of each entry, by its name.
-	lives map[string]runworks.Incarnation
-	// wordNews is what is to be told of backend servers, by server, and tellingWords says that
-	// somebody does.
-	wordNews     map[string]wordNews
-	tellingWords bool
-	// changes are not told yet; wake has them told at once.
-	changes []Change
-	wake    notify.Wake
+	// unsentRemote holds the use of customers' limits that was sent to local entries only, and
+	// remoteSentAt is when the last heartbeat went to the remote ones.
+	unsentRemote map[string]runworks.CustomerUse
+	remoteSentAt time.Time
+	mu           sync.Mutex
+	// ctx is cancelled when Run returns. It may be created before Run, by the first connection.
+	ctx    context.Context
+	cancel context.CancelFunc
+	links  map[string]*link
+	peers  map[runworks.Incarnation]*peerState
+	// startedAt is when Run started, and membersKnown is set once SetMembers was called.
+	startedAt    time.Time
+	membersKnown bool
+	// incarnations holds the latest incarnation of each entry, by name.
+	incarnations map[string]runworks.Incarnation
+	// pendingNotices holds the notices to send, by server. sendingNotices is set while a
+	// goroutine sends them.
+	pendingNotices map[string]pendingNotice
+	sendingNotices bool
+	// pendingChanges are sent with the next heartbeat; wake triggers one.
+	pendingChanges []Change
+	wake           notify.Wake
 }
 
-// life is what is known of another entry's incarnation.
-type life struct {
-	name string
-	hall string
-	last time.Time
-	// storeLost is its word that it could not read the store of late.
+// peerState is what is known of one incarnation of another entry.
+type peerState struct {
+	name     string
+	hall     string
+	lastSeen time.Time
+	// storeLost is Heartbeat.StoreLost of its last heartbeat.
 	storeLost bool
-	// noEras says that it is of a version that tells offsets without their eras: what it reads
-	// of the store is of no use here.
-	noEras bool
+	// offsetsOnly is set if its version sends offsets without eras, so that this entry can't use
+	// what it reads from the store.
+	offsetsOnly bool
 }
 
-// Run sends heartbeats until ctx ends.
+// Run sends heartbeats until ctx is cancelled, then closes all connections.
 func (x *Exchange) Run(ctx context.Context) {
 	x.mu.Lock()
-	x.began = time.Now()
+	x.startedAt = time.Now()
 	x.mu.Unlock()
 	if x.OnSettled != nil {
 		settled := time.AfterFunc(SettleTimeout, x.OnSettled)
@@ -208,42 +212,42 @@
 	var sent time.Time
 	for ctx.Err() == nil {
 		now := time.Now()
-		x.forgetSilent(now)
-		if data := x.tell(ctx, last, now.Sub(sent) >= quietEvery); data != nil {
+		x.removeTimedOut(now)
+		if data := x.sendHeartbeat(ctx, last, now.Sub(sent) >= idleInterval); data != nil {
 			last, sent = data, now
 		}
-		pause.Until(ctx, x.every(), x.wake.C())
+		pause.Until(ctx, x.interval(), x.wake.C())
 	}
 	x.mu.Lock()
 	x.ctxLocked()
-	x.end()
+	x.cancel()
 	x.mu.Unlock()
 	x.work.Close()
 }
 
-// ctxLocked gives the context of all connections.
+// ctxLocked returns the context of all connections.
 func (x *Exchange) ctxLocked() context.Context {
 	if x.ctx == nil {
-		x.ctx, x.end = context.WithCancel(context.Background())
+		x.ctx, x.cancel = context.WithCancel(context.Background())
 	}
 	return x.ctx
 }
 
-// Settled says whether this entry has heard another since its start, or there is none to
-// hear, as far as it can know by now.
+// Settled reports whether this entry has received a heartbeat of another one, knows that there is
+// no other, or has waited for SettleTimeout.
 func (x *Exchange) Settled(now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.began.IsZero() {
+	if x.startedAt.IsZero() {
 		return false
 	}
-	alone := x.listed && len(x.links) == 0
-	return alone || len(x.heard) > 0 || now.Sub(x.began) >= SettleTimeout
+	alone := x.membersKnown && len(x.links) == 0
+	return alone || len(x.peers) > 0 || now.Sub(x.startedAt) >= SettleTimeout
 }
 
-// LiveCount gives how many other entries sent a heartbeat of late.
+// LiveCount returns the number of other entries that have not timed out.
 func (x *Exchange) LiveCount() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return len(x.heard)
+	return len(x.peers)
 }
--- a/services/peers/peers_test.go
+++ b/services/peers/peers_test.go
@@ -17,70 +17,76 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// entry is one entry of a test, with what it heard.
+// entry is an entry under test and what it received.
 type entry struct {
 	*Exchange
 	network *memnet.Network
 	server  *http.Server
 	cancel  context.CancelFunc
 
-	mu    sync.Mutex
-	heard map[runworks.Incarnation]Heartbeat
+	mu sync.Mutex
+	// peers holds the last heartbeat of each other entry, by incarnation.
+	peers map[runworks.Incarnation]Heartbeat
 	gone  []runworks.Incarnation
-	// greeted is when each life of another entry told what it counts.
-	greeted map[runworks.Incarnation]time.Time
-	// greetings is how many greetings it heard.
-	greetings int
-	// replaced are the lives that were over as a new one of their name was heard.
+	// handshakeAt is when the full use of limits arrived, by sender, unless a heartbeat preceded
+	// it.
+	handshakeAt map[runworks.Incarnation]time.Time
+	// handshakes is the number of handshakes that it received.
+	handshakes int
+	// replaced holds the previous incarnations of entries that restarted.
 	replaced []runworks.Incarnation
-	tells    int
-	// storeLost is what the entry tells of the store, and changes what it was told of it.
+	running  int
+	// storeLost is what it sends as StoreLost, and changes the changes that it received.
 	storeLost bool
 	changes   []Change
-	// suspects are the requests it was told of, and knows those it tells in a greeting.
-	suspects []runworks.Fingerprint
-	knows    []runworks.Suspect
-	// serverWords are the tellings of servers' words that it heard, and knowsWords those
-	// it tells in a greeting.
-	serverWords [][]runworks.ServerNotice
-	knowsWords  []runworks.ServerNotice
-	// beats is how many heartbeats it heard, and limits what they told of customers.
-	beats  int
-	limits map[string]float64
+	// suspects are those that it received, and knownSuspects those that it sends in a handshake.
+	suspects      []runworks.Fingerprint
+	knownSuspects []runworks.Suspect
+	// noticeLists are the lists of server notices that it received, and knownNotices the one that
+	// it sends in a handshake.
+	noticeLists  [][]runworks.ServerNotice
+	knownNotices []runworks.ServerNotice
+	// heartbeats is the number of heartbeats that it received, and limits the use of limits in
+	// them, by customer.
+	heartbeats int
+	limits     map[string]float64
 }
 
-// startEntry starts an entry on the network; its name is its host.
+// startEntry starts an entry with the incarnation NAME-life on a host of the same name.
 func startEntry(t testing.TB, network *memnet.Network, name string, key string) *entry {
 	t.Helper()
-	return startLife(t, network, name, key, name+"-life")
+	return startIncarnation(t, network, name, key, name+"-life")
 }
 
-// startLife starts an entry under an incarnation.
-func startLife(t testing.TB, network *memnet.Network, name, key, life string) *entry {
+// startIncarnation starts an entry under an incarnation.
+func startIncarnation(t testing.TB, network *memnet.Network, name, key, incarnation string) *entry {
 	t.Helper()
-	return startLifeAt(t, network, name, name, key, life)
+	return startIncarnationAt(t, network, name, name, key, incarnation)
 }
 
-// startLifeAt does so on a host.
-func startLifeAt(t testing.TB, network *memnet.Network, name, host, key, life string) *entry {
+// startIncarnationAt starts an entry under an incarnation on a host.
+func startIncarnationAt(t testing.TB, network *memnet.Network, name, host, key, incarnation string) *entry {
 	t.Helper()
-	return startEvery(t, network, 0, name, host, key, life)
+	return startWithInterval(t, network, 0, name, host, key, incarnation)
 }
 
-// startEvery does so for an entry that tells so often.
-func startEvery(t testing.TB, network *memnet.Network, every time.Duration, name, host, key, life string) *entry {
+// startWithInterval starts an entry with an interval between heartbeats.
+func startWithInterval(t testing.TB, network *memnet.Network, interval time.Duration, name, host, key, incarnation string) *entry {
 	t.Helper()
 	return startWith(t, network, &Exchange{
-		Interval: every, Self: Member{Name: name, Address: host + ":1", Incarnation: runworks.Incarnation(life)},
+		Interval: interval, Self: Member{Name: name, Address: host + ":1", Incarnation: runworks.Incarnation(incarnation)},
 		Dial: network.Dialer(host), Keys: rpc.FleetKeys{key},
 	})
 }
 
-// startWith starts an entry; what it tells and hears is filled in.
+// startWith starts an entry and sets its callbacks.
 func startWith(t testing.TB, network *memnet.Network, x *Exchange) *entry {
 	t.Helper()
-	e := &entry{Exchange: x, network: network, heard: map[runworks.Incarnation]Heartbeat{}, greeted: map[runworks.Incarnation]time.Time{}, limits: map[string]float64{}}
-	e.fill()
+	e := &entry{
+		Exchange: x, network: network, peers: map[runworks.Incarnation]Heartbeat{},
+		handshakeAt: map[runworks.Incarnation]time.Time{}, limits: map[string]float64{},
+	}
+	e.setCallbacks()
 	l, err := network.Listen(x.Self.Address)
 	if err != nil {
 		t.Fatal(err)
@@ -93,20 +99,20 @@
 	return e
 }
 
-// fill notes what the entry hears, and lets it tell.
-func (e *entry) fill() {
+// setCallbacks records what the entry receives, and supplies what it sends.
+func (e *entry) setCallbacks() {
 	e.Logger = hclog.NewNullLogger()
 	e.Heartbeat = func() Heartbeat {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return Heartbeat{StoreLost: e.storeLost, Load: runworks.EntryLoad{Running: runworks.RunningCalls{"s": e.tells}}}
+		return Heartbeat{StoreLost: e.storeLost, Load: runworks.EntryLoad{Running: runworks.RunningCalls{"s": e.running}}}
 	}
 	e.OnHeartbeat = func(_ time.Time, b *Heartbeat) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.heard[b.From.Incarnation] = *b
+		e.peers[b.From.Incarnation] = *b
 		e.changes = append(e.changes, b.Changes...)
-		e.beats++
+		e.heartbeats++
 		for customer, u := range b.Limits.Customers {
 			e.limits[customer] = u.Consumed
 		}
@@ -118,15 +124,15 @@
 	e.OnHandshake = func(now time.Time, b *Heartbeat) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.greetings++
-		if _, early := e.heard[b.From.Incarnation]; b.Limits.Version == 7 && !early {
-			e.greeted[b.From.Incarnation] = now
+		e.handshakes++
+		if _, early := e.peers[b.From.Incarnation]; b.Limits.Version == 7 && !early {
+			e.handshakeAt[b.From.Incarnation] = now
 		}
 	}
 	e.Suspects = func() []runworks.Suspect {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.knows
+		return e.knownSuspects
 	}
 	e.OnSuspects = func(_ string, list []runworks.Suspect) {
 		e.mu.Lock()
@@ -148,35 +154,35 @@
 	e.ServerNotices = func() []runworks.ServerNotice {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return e.knowsWords
+		return e.knownNotices
 	}
 	e.OnServerNotices = func(_ string, list []runworks.ServerNotice) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.serverWords = append(e.serverWords, list)
+		e.noticeLists = append(e.noticeLists, list)
 	}
 	e.State = func(Subject) (any, error) { return e.Self.Name + " knows", nil }
 }
 
-// tell changes what an entry tells the others.
-func (e *entry) tell(n int) {
+// setRunning sets the number of calls that the entry reports as running.
+func (e *entry) setRunning(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.tells = n
+	e.running = n
 }
 
-// runsAt gives what an entry heard of another's calls; -1 if it heard nothing.
-func (e *entry) runsAt(name string) int {
+// runningAt returns the number of calls that another entry reported as running; -1 if none.
+func (e *entry) runningAt(name string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b, ok := e.heard[runworks.Incarnation(name+"-life")]
+	b, ok := e.peers[runworks.Incarnation(name+"-life")]
 	if !ok {
 		return -1
 	}
 	return b.Load.Running["s"]
 }
 
-// inNetwork runs a test with entries a and b, of which a knows b from the list.
+// inNetwork runs a test with entries a and b, of which only a has the other in its member list.
 func inNetwork(t *testing.T, keyOfB string, test func(is *is.I, network *memnet.Network, a, b *entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -195,22 +201,23 @@
 	})
 }
 
-// TestEntriesHearEachOther lets an entry that nobody listed be dialled back, and
-// passes each change on within a heartbeat.
-func TestEntriesHearEachOther(t *testing.T) {
+// TestEntriesExchangeHeartbeats checks that an unlisted entry is connected back, and that changes
+// arrive within a heartbeat interval.
+func TestEntriesExchangeHeartbeats(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, b *entry) {
-		is.Equal(a.runsAt("b"), 0)
-		is.Equal(b.runsAt("a"), 0)
-		a.tell(3)
+		is.Equal(a.runningAt("b"), 0)
+		is.Equal(b.runningAt("a"), 0)
+		a.setRunning(3)
 		time.Sleep(2 * DefaultInterval)
-		is.Equal(b.runsAt("a"), 3)
+		is.Equal(b.runningAt("a"), 3)
 		is.Equal(a.LiveCount(), 1)
 	})
 }
 
-// TestNewLifeIsGreeted tells a new life what the others know within some milliseconds
-// and before any heartbeat, also when the way to its old one seems open or was waited for.
-func TestNewLifeIsGreeted(t *testing.T) {
+// TestNewIncarnationGetsHandshake checks that a restarted entry receives the full state within
+// milliseconds and before any heartbeat, also if the connection to its previous incarnation seems
+// open, or if the other entry waits before it dials again.
+func TestNewIncarnationGetsHandshake(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		gone time.Duration
@@ -223,41 +230,40 @@
 					b.cancel()
 					time.Sleep(c.gone)
 				}
-				began := time.Now()
-				again := startLifeAt(t, network, "b", c.host, "key-of-the-fleet", "b-second-life")
-				again.SetMembers([]Member{a.Self})
+				start := time.Now()
+				restarted := startIncarnationAt(t, network, "b", c.host, "key-of-the-fleet", "b-second-life")
+				restarted.SetMembers([]Member{a.Self})
 				time.Sleep(DefaultInterval)
-				again.mu.Lock()
-				greeted := again.greeted["a-life"]
-				again.mu.Unlock()
-				is.True(!greeted.IsZero())
-				is.True(greeted.Sub(began) <= 20*time.Millisecond) // some ways of the network, 1 ms each
-				again.cancel()
-				_ = again.server.Close()
+				restarted.mu.Lock()
+				handshakeAt := restarted.handshakeAt["a-life"]
+				restarted.mu.Unlock()
+				is.True(!handshakeAt.IsZero())
+				is.True(handshakeAt.Sub(start) <= 20*time.Millisecond) // several network delays of 1 ms
+				restarted.cancel()
+				_ = restarted.server.Close()
 			})
 		})
 	}
 }
 
-// TestSilentEntryIsGone counts an entry as gone that is cut off, and hears it again
-// afterwards.
-func TestSilentEntryIsGone(t *testing.T) {
+// TestUnreachableEntryTimesOut checks that an unreachable entry is removed, and is live again
+// after the network is restored.
+func TestUnreachableEntryTimesOut(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, b *entry) {
 		network.Cut("a", "b")
-		time.Sleep(silentAfter + time.Second)
+		time.Sleep(minPeerTimeout + time.Second)
 		is.Equal(a.LiveCount(), 0)
 		is.Equal(len(a.gone), 1)
 		network.Reset("a", "b")
 		network.Mend("a", "b")
-		b.tell(7)
-		time.Sleep(2 * lastRedial)
-		is.Equal(a.runsAt("b"), 7)
+		b.setRunning(7)
+		time.Sleep(2 * maxRedialWait)
+		is.Equal(a.runningAt("b"), 7)
 		is.Equal(a.LiveCount(), 1)
 	})
 }
 
-// TestAskState asks another entry for what it knows.
-func TestAskState(t *testing.T) {
+func TestRequestState(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, _ *entry) {
 		var out string
 		is.NoErr(a.RequestState(context.Background(), "b", SubjectRouting, &out))
@@ -266,47 +272,47 @@
 	})
 }
 
-// TestOtherFleetIsRefused takes no connection that shows another fleet's key.
-func TestOtherFleetIsRefused(t *testing.T) {
+// TestOtherFleetIsRejected checks that connections with another fleet key are rejected.
+func TestOtherFleetIsRejected(t *testing.T) {
 	inNetwork(t, "key-of-another-fleet", func(is *is.I, _ *memnet.Network, a, b *entry) {
-		is.Equal(a.runsAt("b"), -1)
-		is.Equal(b.runsAt("a"), -1)
+		is.Equal(a.runningAt("b"), -1)
+		is.Equal(b.runningAt("a"), -1)
 	})
 }
 
-// TestBadHeartbeat refuses what can't be read.
+// TestBadHeartbeat checks that invalid messages return an error.
 func TestBadHeartbeat(t *testing.T) {
 	is := is.New(t)
-	x := &hearing{Exchange: &Exchange{Logger: hclog.NewNullLogger()}}
+	x := &inbound{Exchange: &Exchange{Logger: hclog.NewNullLogger()}}
 	_, err := x.handle(context.Background(), MethodHeartbeat, json.RawMessage(`{`))
 	is.True(err != nil)
 	_, err = x.handle(context.Background(), "entry.unknown", nil)
 	is.True(err != nil)
 }
 
-// TestNewLifeReplacesTheOld tells at once that a life of an entry is over when the
-// entry is heard under a new one, also after it had fallen silent.
-func TestNewLifeReplacesTheOld(t *testing.T) {
+// TestNewIncarnationReplacesOld checks that OnReplaced is called when a restarted entry is seen,
+// also after its previous incarnation timed out.
+func TestNewIncarnationReplacesOld(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, b *entry) {
-		is.Equal(a.runsAt("b"), 0)
+		is.Equal(a.runningAt("b"), 0)
 		b.cancel()
 		_ = b.server.Close()
-		time.Sleep(2 * silentAfter)
-		again := startLife(t, network, "b", "key-of-the-fleet", "b-second-life")
+		time.Sleep(2 * minPeerTimeout)
+		restarted := startIncarnation(t, network, "b", "key-of-the-fleet", "b-second-life")
 		defer func() {
-			again.cancel()
-			_ = again.server.Close()
+			restarted.cancel()
+			_ = restarted.server.Close()
 		}()
 		time.Sleep(5 * time.Second)
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		is.Equal(a.replaced, []runworks.Incarnation{"b-life"})
-		is.Equal(a.heard["b-second-life"].From.Name, "b")
+		is.Equal(a.peers["b-second-life"].From.Name, "b")
 	})
 }
 
-// TestSettled waits at the start for the greeting of another entry, for none if none is
-// listed, and not for long if none answers.
+// TestSettled checks that a starting entry waits for the handshake of another one, not at all if
+// no other is listed, and for at most SettleTimeout if none answers.
 func TestSettled(t *testing.T) {
 	for _, one := range []struct {
 		name   string
@@ -322,7 +328,7 @@
 			inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, _, _ *entry) {
 				c := startEntry(t, network, "c", "key-of-the-fleet")
 				synctest.Wait()
-				is.True(!c.Settled(time.Now())) // the list is not known
+				is.True(!c.Settled(time.Now())) // the member list is not known
 				c.SetMembers(one.listed)
 				if one.from > 0 {
 					time.Sleep(one.from - time.Millisecond)
@@ -337,15 +343,15 @@
 	}
 }
 
-// TestSuspendedEntry counts the others as gone after a suspension that is longer than a
-// silence, and hears them again with their next heartbeats.
+// TestSuspendedEntry checks that an entry removes the others after a suspension that exceeds the
+// timeout, and sees them again with their next heartbeats.
 func TestSuspendedEntry(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, _ *entry) {
-		a.HostSuspended(silentAfter / 2)
+		a.HostSuspended(minPeerTimeout / 2)
 		time.Sleep(DefaultInterval + 10*time.Millisecond) // between two heartbeats
 		is.Equal(a.LiveCount(), 1)
-		a.HostSuspended(silentAfter + time.Second)
-		time.Sleep(2 * quietEvery)
+		a.HostSuspended(minPeerTimeout + time.Second)
+		time.Sleep(2 * idleInterval)
 		is.Equal(a.LiveCount(), 1)
 		a.mu.Lock()
 		defer a.mu.Unlock()
--- a/services/peers/readers.go
+++ b/services/peers/readers.go
@@ -8,48 +8,48 @@
 	"github.com/runworks/runworks"
 )
 
-// StoreReaders is how many entries of all read the store for changes: one, and one for the time
-// in which nobody knows yet that the first is gone.
+// StoreReaders is the number of entries that read the store on behalf of all: one, and a second
+// for the time until the failure of the first is detected.
 const StoreReaders = 2
 
-// Change is what an entry read of a subject on the store, for those that do not read it.
+// Change is what an entry read of a subject from the store, for entries that do not read it.
 type Change struct {
 	Subject Subject
-	// From is the position before the change, and Next the one behind it, of the same era.
+	// From is the position before the change and Next the one after it, of the same era.
 	From, Next runworks.Position
 	Records    []runworks.Record
 }
 
-// SendChange has a change told to all others at once.
+// SendChange sends a change to all other entries with an immediate heartbeat.
 func (x *Exchange) SendChange(c Change) {
 	x.mu.Lock()
-	x.changes = append(x.changes, c)
+	x.pendingChanges = append(x.pendingChanges, c)
 	x.mu.Unlock()
 	x.wake.Signal()
 }
 
-// takeChanges gives the changes that were not told yet.
-func (x *Exchange) takeChanges() []Change {
+// takePendingChanges returns and clears the changes that were not sent yet.
+func (x *Exchange) takePendingChanges() []Change {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	out := x.changes
-	x.changes = nil
+	out := x.pendingChanges
+	x.pendingChanges = nil
 	return out
 }
 
-// ReadsStore says whether this entry is one of those that read the store for all: the first by
-// a hash of their names, among those that were heard just now and are in touch with the
-// store. Where entries hear different ones, more of them read. If all lost the store, some
-// still try.
-func (x *Exchange) ReadsStore(lost bool) bool {
+// ReadsStore reports whether this entry is one of those that read the store on behalf of all: the
+// first StoreReaders by a hash of their names, of the entries that were seen recently and can
+// read the store. Where entries see different sets of others, more of them read. If all lost the
+// store, as many still try; storeLost is set if this entry lost it.
+func (x *Exchange) ReadsStore(storeLost bool) bool {
 	now := time.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	ahead, reading := 0, 0
 	own := xxhash.Sum64String(x.Self.Name)
-	fresh := x.freshLocked()
-	for _, one := range x.heard {
-		if now.Sub(one.last) > fresh || one.noEras || one.storeLost && !lost {
+	timeout := x.readerTimeoutLocked()
+	for _, one := range x.peers {
+		if now.Sub(one.lastSeen) > timeout || one.offsetsOnly || one.storeLost && !storeLost {
 			continue
 		}
 		if !one.storeLost {
@@ -59,25 +59,25 @@
 			ahead++
 		}
 	}
-	if lost && reading > 0 {
+	if storeLost && reading > 0 {
 		return false
 	}
 	return ahead < StoreReaders
 }
 
-// freshLocked is within which time an entry that reads the store must have been heard. A
-// live one has sent a heartbeat by then.
-func (x *Exchange) freshLocked() time.Duration {
-	return quietEvery + 2*x.farEveryLocked()
+// readerTimeoutLocked returns the time within which a reader of the store must have been seen. A
+// live entry sends a heartbeat within it.
+func (x *Exchange) readerTimeoutLocked() time.Duration {
+	return idleInterval + 2*x.remoteIntervalLocked()
 }
 
-// tellOffsets fills in what versions that know of no eras read of the positions.
-func (b *Heartbeat) tellOffsets() {
+// fillOffsets sets Offsets for versions that do not know eras.
+func (b *Heartbeat) fillOffsets() {
 	b.Offsets = make(map[Subject]int64, len(b.Positions))
 	for subject, p := range b.Positions {
 		b.Offsets[subject] = p.Offset
 	}
 }
 
-// noEras says whether the entry tells offsets alone.
-func (b *Heartbeat) noEras() bool { return len(b.Positions) == 0 && len(b.Offsets) > 0 }
+// offsetsOnly reports whether the sender's version does not know eras.
+func (b *Heartbeat) offsetsOnly() bool { return len(b.Positions) == 0 && len(b.Offsets) > 0 }
--- a/services/peers/readers_test.go
+++ b/services/peers/readers_test.go
@@ -13,33 +13,33 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// readersOf gives which of the entries read the store.
+// readersOf returns the names of the entries that read the store.
 func readersOf(list []*entry) []string {
 	var out []string
 	for _, e := range list {
-		if e.ReadsStore(e.lost()) {
+		if e.ReadsStore(e.storeIsLost()) {
 			out = append(out, e.Self.Name)
 		}
 	}
 	return out
 }
 
-// lost is what an entry tells of the store.
-func (e *entry) lost() bool {
+// storeIsLost returns what the entry sends as StoreLost.
+func (e *entry) storeIsLost() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.storeLost
 }
 
-func (e *entry) setLost(lost bool) {
+func (e *entry) setStoreLost(lost bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.storeLost = lost
 }
 
-// TestFewRead has two entries of seven read the store: others in place of one that is cut
-// off and of those that lost it, and some still where all lost it.
-func TestFewRead(t *testing.T) {
+// TestStoreReaders checks that two of seven entries read the store. Others replace one that is
+// unreachable and those that lost the store, and some still try if all lost it.
+func TestStoreReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := memnet.New(time.Millisecond)
@@ -68,15 +68,15 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(len(readersOf(rest)), StoreReaders)
-		is.Equal(len(readersOf(list)), StoreReaders+1) // the one that is cut off reads for itself
+		is.Equal(len(readersOf(list)), StoreReaders+1) // the unreachable one reads for itself
 		for _, e := range rest {
-			e.setLost(e.Self.Name == first[1])
+			e.setStoreLost(e.Self.Name == first[1])
 		}
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(len(readersOf(rest)), StoreReaders)
 		is.True(readersOf(rest)[0] != first[1] && readersOf(rest)[1] != first[1])
 		for _, e := range rest {
-			e.setLost(true)
+			e.setStoreLost(true)
 		}
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(len(readersOf(rest)), StoreReaders)
@@ -89,22 +89,27 @@
 	})
 }
 
-// toldChanges gives the changes that an entry was told.
-func (e *entry) toldChanges() []Change {
+// receivedChanges returns the changes that the entry received.
+func (e *entry) receivedChanges() []Change {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.changes)
 }
 
-// TestChangesAreTold passes what one entry read to all others at once, and once.
-func TestChangesAreTold(t *testing.T) {
+// TestSendChange checks that a change reaches other entries immediately, and once only.
+func TestSendChange(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, _ *memnet.Network, a, b *entry) {
-		time.Sleep(DefaultInterval / 2) // in the middle between two heartbeats
-		c := Change{Subject: SubjectServers, From: runworks.Position{Era: 2, Offset: 4}, Next: runworks.Position{Era: 2, Offset: 6}, Records: []runworks.Record{{Key: "i-1", Value: []byte("x")}}}
+		time.Sleep(DefaultInterval / 2) // midway between two heartbeats
+		c := Change{
+			Subject: SubjectServers,
+			From:    runworks.Position{Era: 2, Offset: 4},
+			Next:    runworks.Position{Era: 2, Offset: 6},
+			Records: []runworks.Record{{Key: "i-1", Value: []byte("x")}},
+		}
 		a.SendChange(c)
 		time.Sleep(5 * time.Millisecond)
-		is.Equal(b.toldChanges(), []Change{c})
+		is.Equal(b.receivedChanges(), []Change{c})
 		time.Sleep(time.Second)
-		is.Equal(b.toldChanges(), []Change{c})
+		is.Equal(b.receivedChanges(), []Change{c})
 	})
 }
--- /dev/null
+++ b/services/peers/receive.go
@@ -0,0 +1,161 @@
+package peers
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/joomcode/errorx"
+
+	"github.com/runworks/runworks"
+	"github.com/runworks/runworks/modules/rpc"
+)
+
+// ServeHTTP accepts connections of other entries.
+func (x *Exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if r.URL.Path != rpc.Path || !x.Keys.Accept(r) {
+		http.Error(w, "only entries of this fleet connect here", http.StatusForbidden)
+		return
+	}
+	stream, err := rpc.Accept(w, r)
+	if err != nil {
+		x.Logger.Warn("connection of an entry refused", "from", r.RemoteAddr, "error", err.Error())
+		return
+	}
+	x.mu.Lock()
+	ctx := x.ctxLocked()
+	x.mu.Unlock()
+	h := &inbound{Exchange: x}
+	<-rpc.ServeFrames(ctx, stream, h.handle, h.handleFrame).DisconnectNotify()
+}
+
+// inbound is a connection that another entry opened. It carries that entry's messages; this
+// entry's own go over the connection it opened itself.
+type inbound struct {
+	*Exchange
+	decoder decoder
+}
+
+// handle processes a message of another entry.
+func (x *inbound) handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
+	switch method {
+	case MethodHeartbeat:
+		return nil, x.handleHeartbeat(params, false)
+	case MethodHandshake:
+		return nil, x.handleHeartbeat(params, true)
+	case MethodSuspects:
+		return nil, x.handleSuspects(params)
+	case MethodServerNotices:
+		return nil, x.handleServerNotices(params)
+	case MethodTransferPermits:
+		return x.handlePermitRequest(params)
+	case MethodState:
+		var c StateRequest
+		if err := json.Unmarshal(params, &c); err != nil {
+			return nil, errorx.Decorate(err, "decode the request")
+		}
+		return x.State(c.Subject)
+	}
+	return rejectCall(ctx, method, params)
+}
+
+// handleFrame processes a heartbeat that arrived as a frame.
+func (x *inbound) handleFrame(data []byte) error {
+	b, err := x.decoder.decode(data)
+	if err != nil {
+		x.Logger.Warn("heartbeat could not be decoded", "error", err.Error())
+		return err
+	}
+	x.receive(time.Now(), b)
+	return nil
+}
+
+// handleHeartbeat processes a heartbeat or handshake that arrived as JSON.
+func (x *inbound) handleHeartbeat(params json.RawMessage, handshake bool) error {
+	var b Heartbeat
+	if err := json.Unmarshal(params, &b); err != nil {
+		x.Logger.Warn("heartbeat could not be decoded", "error", err.Error())
+		return errorx.Decorate(err, "decode the heartbeat")
+	}
+	now := time.Now()
+	if handshake {
+		x.decoder = decoder{from: b.From, names: b.Names}
+		x.OnHandshake(now, &b)
+		x.receiveSuspects(b.From.Name, b.Suspects)
+		x.receiveServerNotices(b.From.Name, b.ServerNotices)
+	}
+	x.receive(now, &b)
+	return nil
+}
+
+// receive updates what is known of the sender of a heartbeat.
+func (x *Exchange) receive(now time.Time, b *Heartbeat) {
+	x.mu.Lock()
+	known := x.peers[b.From.Incarnation]
+	if x.peers == nil {
+		x.peers = make(map[runworks.Incarnation]*peerState)
+		x.incarnations = make(map[string]runworks.Incarnation)
+	}
+	old := x.incarnations[b.From.Name]
+	x.incarnations[b.From.Name] = b.From.Incarnation
+	replaced := old != "" && old != b.From.Incarnation
+	if replaced {
+		delete(x.peers, old)
+	}
+	x.peers[b.From.Incarnation] = &peerState{
+		name: b.From.Name, hall: b.From.Hall, lastSeen: now,
+		storeLost: b.StoreLost, offsetsOnly: b.offsetsOnly(),
+	}
+	// A new incarnation may have another address than the member list.
+	opened := x.ensureLinkLocked(b.From)
+	if l := x.links[b.From.Name]; l != nil && !opened && known == nil {
+		l.reconnect(replaced)
+	}
+	x.mu.Unlock()
+	if known == nil {
+		x.Logger.Info("first heartbeat received from entry",
+			"name", b.From.Name, "incarnation", b.From.Incarnation, "routing_version", b.RoutingVersion)
+	}
+	if replaced {
+		x.Logger.Info("entry restarted",
+			"name", b.From.Name, "incarnation", b.From.Incarnation, "old_incarnation", old)
+		x.OnReplaced(old)
+	}
+	x.OnHeartbeat(now, b)
+}
+
+// peerTimeoutLocked returns the time without a heartbeat after which an entry is considered gone.
+// It covers several heartbeats also at long intervals.
+func (x *Exchange) peerTimeoutLocked() time.Duration {
+	return max(minPeerTimeout, missedHeartbeats*x.remoteIntervalLocked())
+}
+
+// HostSuspended ages what is known of all entries by d, the time for which this host was
+// suspended. Meanwhile they may have exited, or consider this entry gone.
+func (x *Exchange) HostSuspended(d time.Duration) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for _, one := range x.peers {
+		one.lastSeen = one.lastSeen.Add(-d)
+	}
+}
+
+// removeTimedOut removes the entries that exceeded the timeout.
+func (x *Exchange) removeTimedOut(now time.Time) {
+	x.mu.Lock()
+	var gone []runworks.Incarnation
+	timeout := x.peerTimeoutLocked()
+	for id, one := range x.peers {
+		if now.Sub(one.lastSeen) > timeout {
+			gone = append(gone, id)
+			x.Logger.Warn("entry timed out",
+				"name", one.name, "incarnation", id, "silent_ms", now.Sub(one.lastSeen).Milliseconds())
+			delete(x.peers, id)
+		}
+	}
+	x.mu.Unlock()
+	for _, id := range gone {
+		x.OnUnreachable(id)
+	}
+}
--- a/services/peers/suspects.go
+++ b/services/peers/suspects.go
@@ -8,31 +8,31 @@
 	"github.com/runworks/runworks"
 )
 
-// Suspects tells of requests under which backend servers ended.
+// Suspects is the message with requests to which exits of backend servers were attributed.
 type Suspects struct {
-	// From names the entry that tells.
+	// From is the name of the sending entry.
 	From string             `json:"from"`
 	List []runworks.Suspect `json:"list"`
 }
 
-// SendSuspects tells all entries that are connected at once: each server that the request
-// meets before they know it ends as well.
+// SendSuspects sends suspects to all connected entries immediately: until they know them, the
+// request may terminate further servers.
 func (x *Exchange) SendSuspects(list ...runworks.Suspect) {
 	x.notifyAll(MethodSuspects, &Suspects{From: x.Self.Name, List: list})
 }
 
-// takeSuspects takes what another entry told.
-func (x *hearing) takeSuspects(params json.RawMessage) error {
+// handleSuspects processes the suspects of another entry.
+func (x *inbound) handleSuspects(params json.RawMessage) error {
 	var s Suspects
 	if err := json.Unmarshal(params, &s); err != nil {
-		x.Logger.Warn("suspects of an entry can't be read", "error", err.Error())
+		x.Logger.Warn("suspects could not be decoded", "error", err.Error())
 		return errorx.Decorate(err, "decode the suspects")
 	}
-	x.hearSuspects(s.From, s.List)
+	x.receiveSuspects(s.From, s.List)
 	return nil
 }
 
-func (x *Exchange) hearSuspects(from string, list []runworks.Suspect) {
+func (x *Exchange) receiveSuspects(from string, list []runworks.Suspect) {
 	if x.OnSuspects != nil && len(list) > 0 {
 		x.OnSuspects(from, list)
 	}
