--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -14,7 +14,7 @@
 	"github.com/runworks/runworks"
 )
 
-// newDispatcher builds one with servers of so many slots each, named s0, s1 and on.
+// newDispatcher returns a dispatcher with a server for each number of slots, named s0, s1, ...
 func newDispatcher(slots ...int) *Dispatcher {
 	d := &Dispatcher{Hall: "a"}
 	d.SetServers(instances(slots...))
@@ -29,7 +29,7 @@
 	return list
 }
 
-// runningLoad is the load of an entry at which nothing waits.
+// runningLoad returns the load of an entry at which no calls wait.
 func runningLoad(calls runworks.RunningCalls) runworks.EntryLoad {
 	return runworks.EntryLoad{Running: calls}
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// acquireAsync waits in the background for a server.
+// acquireAsync acquires a lease in the background.
 func acquireAsync(d *Dispatcher, req *Request) <-chan *Lease {
 	out := make(chan *Lease, 1)
 	go func() {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// checkOrder frees the slot of a call: of two that wait, one goes before the other.
+// checkOrder frees a slot and checks that one of two waiting calls gets it before the other.
 func checkOrder(t *testing.T, first *Lease, ahead, behind <-chan *Lease) {
 	t.Helper()
 	is := is.New(t)
@@ -68,8 +68,8 @@
 	(<-behind).Release(Served)
 }
 
-// TestHighestRankFirst frees one slot for which calls of three ranks wait, the lowest
-// first in line: the highest gets it, then the next.
+// TestHighestRankFirst frees one slot for which calls of three ranks wait, the lowest rank
+// first in the queue. The highest rank gets it, then the next.
 func TestHighestRankFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -90,7 +90,7 @@
 	})
 }
 
-// TestCustomerRankBeforeRouteRank lets the customers' ranks decide before the routes'.
+// TestCustomerRankBeforeRouteRank checks that the customer's rank takes precedence.
 func TestCustomerRankBeforeRouteRank(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		d := newDispatcher(1)
@@ -106,15 +106,15 @@
 	})
 }
 
-// TestLateCallAfterSameRank puts a call that missed its target behind one of its rank that
-// can still meet its own.
+// TestLateCallAfterSameRank checks that a call that missed its target waits behind one of its
+// rank that can still meet its own.
 func TestLateCallAfterSameRank(t *testing.T) { testLateCallOrder(t, 1) }
 
-// TestLateCallAfterLowerRank puts it behind one of a lower rank, too.
+// TestLateCallAfterLowerRank checks that it waits behind one of a lower rank, too.
 func TestLateCallAfterLowerRank(t *testing.T) { testLateCallOrder(t, 2) }
 
-// testLateCallOrder lets a call of rank 1 miss its target, and one of another rank come then:
-// that one has the next slot.
+// testLateCallOrder lets a call of rank 1 miss its target before one of another rank arrives,
+// which gets the next slot.
 func testLateCallOrder(t *testing.T, routeRank int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -127,7 +127,7 @@
 	})
 }
 
-// TestSlotReservedFromLowestRank keeps the last slot of a server from the lowest rank.
+// TestSlotReservedFromLowestRank keeps the last slot of a server free of the lowest rank.
 func TestSlotReservedFromLowestRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -149,8 +149,8 @@
 	})
 }
 
-// TestExcludedServers does not give a call to a server that had it, and says so at once
-// where there is no other.
+// TestExcludedServers checks that a call does not go to a server that had it, and gets an
+// error at once if there is no other.
 func TestExcludedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -166,7 +166,7 @@
 	})
 }
 
-// TestDrainingServerGetsNoCalls gives no call to a server that leaves or left the list.
+// TestDrainingServerGetsNoCalls sends no call to a server that drains or was removed.
 func TestDrainingServerGetsNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -183,7 +183,7 @@
 		away.Service = "app"
 		list = append(list, runworks.Instance{ID: "p0", Service: "app", Slots: 9, Draining: true}, runworks.Instance{ID: "p1", Service: "app", Slots: 9})
 		d.SetServers(list)
-		for range 3 { // also when the only other one can't be reached
+		for range 3 { // also while the only other server is unreachable
 			lease := <-acquireAsync(d, away)
 			is.Equal(lease.Instance.ID, "p1")
 			lease.Release(Unreachable)
@@ -198,8 +198,8 @@
 	})
 }
 
-// TestSlotsUsedByOtherEntries counts what the other fronts have at a server, and forgets
-// it when they are gone.
+// TestSlotsUsedByOtherEntries counts the calls of other entries at a server until those
+// entries are gone.
 func TestSlotsUsedByOtherEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -212,8 +212,8 @@
 	})
 }
 
-// TestNewServerFilledByOtherEntries makes a server known that other entries, which knew it
-// sooner, have filled: a call that waits must not be sent there.
+// TestNewServerFilledByOtherEntries adds a server that other entries, which knew it earlier,
+// have filled: a waiting call must not be sent there.
 func TestNewServerFilledByOtherEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -230,7 +230,7 @@
 	})
 }
 
-// TestCallerTimeout gives a call up before its caller leaves.
+// TestCallerTimeout abandons a call before its caller disconnects.
 func TestCallerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -246,27 +246,27 @@
 	})
 }
 
-// TestPruneLateCalls tells a late call at once when the starts that its
-// tier gets leave it no hope, long before its caller leaves.
+// TestPruneLateCalls refuses late calls well before their callers disconnect, once calls of
+// higher tiers use all slots that become free.
 func TestPruneLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
 		lease := <-acquireAsync(d, newRequest("runs", 0))
 		time.Sleep(2 * time.Second)
-		lease.Release(Served) // calls keep their slot for 2 s
+		lease.Release(Served) // calls hold their slot for 2 s
 		lease = <-acquireAsync(d, newRequest("runs again", 0))
 		late := []<-chan *Lease{acquireAsync(d, newRequest("late0", 0)), acquireAsync(d, newRequest("late1", 0)), acquireAsync(d, newRequest("late2", 0))}
 		time.Sleep(1500 * time.Millisecond)
 		is.Equal(d.WaitingCalls()["llm"], 3)
-		for i := range 30 { // what is in time gets all the starts
+		for i := range 30 { // calls on time get all the starts
 			urgent := acquireAsync(d, newRequest(fmt.Sprint("urgent", i), 0))
 			time.Sleep(200 * time.Millisecond)
 			lease.Release(Served)
 			lease = <-urgent
 		}
 		d.pumpAll()
-		is.Equal(d.WaitingCalls()["llm"], 1) // the first is let wait: nothing tells that it has no chance
+		is.Equal(d.WaitingCalls()["llm"], 1) // the first keeps waiting: nothing shows that it will not start
 		synctest.Wait()
 		for _, one := range late[1:] {
 			_, ok := <-one
@@ -277,15 +277,15 @@
 	})
 }
 
-// TestRefuseLateCallOnArrival lets a call wait that can't meet its target but be served
-// before its caller leaves, and refuses one that can't.
+// TestRefuseLateCallOnArrival lets a call wait that misses its target but can start before
+// its caller disconnects, and refuses one that cannot.
 func TestRefuseLateCallOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(1)
 		lease := <-acquireAsync(d, newRequest("runs", 0))
 		time.Sleep(2 * time.Second)
-		lease.Release(Served) // calls keep their slot for 2 s
+		lease.Release(Served) // calls hold their slot for 2 s
 		<-acquireAsync(d, newRequest("runs again", 0))
 		waits := acquireAsync(d, newRequest("waits", 0))
 		late := acquireAsync(d, newRequest("late", 0))
@@ -296,13 +296,13 @@
 		is.True(errors.Is(err, runworks.ErrShortage))
 		is.Equal(time.Since(began), time.Duration(0))
 		is.Equal(d.WaitingCalls()["llm"], 2)
-		<-waits // given up at its deadline
+		<-waits // abandoned at its deadline
 		<-late
 	})
 }
 
-// TestBrokenServerIsEjected sends nothing to a server whose calls break, as long
-// as another has a slot, and tries it again later.
+// TestBrokenServerIsEjected sends no call to a server whose calls break while another has a
+// slot, and uses it again later.
 func TestBrokenServerIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -327,7 +327,7 @@
 	})
 }
 
-// TestAllServersEjected goes on using servers when all of them are suspended.
+// TestAllServersEjected continues to use servers when all of them are ejected.
 func TestAllServersEjected(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		d := newDispatcher(2)
@@ -337,8 +337,8 @@
 	})
 }
 
-// TestLongAnswersNeedFastServers keeps an answer that can't end in time on a slow
-// server for the fast one.
+// TestLongAnswersNeedFastServers lets an answer that a slow server cannot finish in time wait
+// for the fast one.
 func TestLongAnswersNeedFastServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -363,8 +363,8 @@
 	})
 }
 
-// TestShortCallsNeedNoFreeSlot sends calls that last a few milliseconds on although
-// the other entries' last word was that all slots are taken: that was long ago for them.
+// TestShortCallsNeedNoFreeSlot sends calls of a few milliseconds although the last load
+// report of another entry says that all slots are taken, as that is out of date by then.
 func TestShortCallsNeedNoFreeSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -385,8 +385,8 @@
 	})
 }
 
-// TestShorterAnswerFirst serves the call with the shorter answer before a longer one that
-// came earlier.
+// TestShorterAnswerFirst starts the call with the shorter answer before a longer one that
+// arrived earlier.
 func TestShorterAnswerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1)
@@ -404,8 +404,8 @@
 	})
 }
 
-// TestResumedCallFirst gives the next slot to a call whose answer broke off, before
-// one of a higher rank that came earlier.
+// TestResumedCallFirst gives the next slot to a call whose answer broke off, before one of a
+// higher rank that arrived earlier.
 func TestResumedCallFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDispatcher(1)
@@ -418,8 +418,8 @@
 	})
 }
 
-// TestSlotsReservedFromLateCalls keeps the last slots of a server from late calls, for calls that
-// come in the next moment and can still be in time.
+// TestSlotsReservedFromLateCalls keeps the last slots of a server free of late calls, for
+// calls that arrive next and can still be on time.
 func TestSlotsReservedFromLateCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -442,7 +442,7 @@
 	})
 }
 
-// TestFasterServerFirst sends a call to the busier server that is four times as fast.
+// TestFasterServerFirst sends a call to the busier server, which is four times as fast.
 func TestFasterServerFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/services/dispatch/limit_sim_test.go
+++ b/services/dispatch/limit_sim_test.go
@@ -16,8 +16,8 @@
 	"github.com/runworks/runworks"
 )
 
-// A server may get limitSlack times what its limit allows in limitSpan, and limitExtra
-// requests more, from all entries together, once they were told noticeDelay before.
+// A server may get limitSlack times the requests that its limit allows in limitSpan, and
+// limitExtra more, from all entries that have known the limit for noticeDelay.
 const (
 	limitSlack  = 1.5
 	limitExtra  = 5
@@ -25,46 +25,46 @@
 	noticeDelay = 500 * time.Millisecond
 )
 
-// limitSim is callers that limitSim on servers of which some have limits, in virtual time.
+// limitSim simulates callers of servers, some of which have rate limits, in virtual time.
 type limitSim struct {
 	mu           sync.Mutex
 	rng          *rand.Rand
 	entries      []*simEntry
 	incarnations int
 	servers      []string
-	// limits are what servers name; told is since when each entry's life was told by the
-	// server itself, by life and server.
+	// limits holds the servers' rate limits; limitSeen is when an entry's incarnation received
+	// a limit from the server itself, keyed by incarnation and server.
 	limits    map[string]float64
 	limitSeen map[string]time.Time
-	// counted are the requests that count: from lives that the server had told.
+	// counted holds the requests from incarnations that had received the server's limit.
 	counted map[string][]time.Time
-	// firstSeen is when a server named its limit firstSeen.
+	// firstSeen is when a server first sent its limit.
 	firstSeen                        map[string]time.Time
 	calls, served, refused, timedOut int
 	work                             sync.WaitGroup
 	ctx                              context.Context
-	// noTransfers keeps entries from asking each other for loans.
+	// noTransfers keeps entries from requesting permits from each other.
 	noTransfers bool
-	// full has servers turn calls away that find no slot, and sharesBackoff has an entry tell the
-	// others for how long it is to leave a server alone.
+	// full lets servers reject calls that find no slot; sharesBackoff lets an entry pass a
+	// server's back-off on to the others.
 	full, sharesBackoff bool
 	pressRests
 }
 
-// simEntry is an entry, and what the others may know of it.
+// simEntry is an entry with its connectivity.
 type simEntry struct {
 	*Dispatcher
 	name   string
 	frozen bool
-	// partitioned says that no other entry is reached.
+	// partitioned reports whether the entry can reach no other.
 	partitioned bool
-	// weight is its part of the calls.
+	// weight is its relative share of the calls.
 	weight   float64
 	end      context.CancelFunc
 	lastSeen map[runworks.Incarnation]time.Time
 }
 
-// The figures of the calls of a press.
+// Properties of the simulated calls and connections.
 const (
 	simHeartbeat        = 50 * time.Millisecond
 	simHeartbeatPerPeer = 2 * time.Millisecond
@@ -104,7 +104,7 @@
 	}
 }
 
-// requestPermits asks another entry for a loan; the question and the answer take a way each.
+// requestPermits requests permits from another entry, with simLatency in each direction.
 func (p *limitSim) requestPermits(from *simEntry, loan *PermitTransfer) int {
 	time.Sleep(simLatency)
 	p.mu.Lock()
@@ -127,7 +127,7 @@
 	return !e.frozen && !to.frozen && !e.partitioned && !to.partitioned
 }
 
-// heartbeats has all entries hear each other, and notice who fell silent.
+// heartbeats exchanges heartbeats among all entries and detects those that time out.
 func (p *limitSim) heartbeats() {
 	for p.ctx.Err() == nil {
 		p.mu.Lock()
@@ -159,7 +159,7 @@
 	}
 }
 
-// pick gives an entry by the weights; nil while it stands still.
+// pick returns a random entry by weight, or nil if that entry is frozen.
 func (p *limitSim) pick() *simEntry {
 	sum := 0.0
 	for _, e := range p.entries {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// load has calls come to the entries for a while, so many a second.
+// load sends calls to the entries for a span of time at a mean rate.
 func (p *limitSim) load(span time.Duration, perSecond float64) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		p.mu.Lock()
@@ -239,7 +239,7 @@
 	lease.Release(Served)
 }
 
-// maxInSpan gives the maxInSpan requests that counted in the span of a limit.
+// maxInSpan returns the highest number of counted requests within limitSpan.
 func (p *limitSim) maxInSpan(server string) int {
 	most, first := 0, 0
 	list := p.counted[server]
@@ -252,8 +252,8 @@
 	return most
 }
 
-// verdict says whether all limits were kept, what was used of them in the time, and how
-// callers were answered.
+// verdict reports whether all limits were kept, and logs how much of them was used and how
+// calls ended.
 func (p *limitSim) verdict(t *testing.T, span time.Duration) string {
 	t.Helper()
 	p.mu.Lock()
@@ -281,11 +281,11 @@
 
 func fraction(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
 
-// TestServerLimits presses on servers with limits in virtual time, through entries that
-// start, end, stand still and are cut off.
+// TestServerLimits calls servers with rate limits in virtual time, through entries that start,
+// end, freeze and are partitioned.
 func TestServerLimits(t *testing.T) { runLimitSims(t, "testdata/limits") }
 
-// runLimitSims plays the scripts of a folder.
+// runLimitSims runs the scripts in a folder.
 func runLimitSims(t *testing.T, folder string) {
 	t.Helper()
 	datadriven.Walk(t, folder, func(t *testing.T, path string) {
@@ -306,7 +306,7 @@
 	}
 }
 
-// simArgs are the arguments of a script's line.
+// simArgs are the arguments of a line in a script.
 type simArgs struct {
 	entries, servers, limited, seconds int
 	perSecond, limit, skew             float64
@@ -368,7 +368,7 @@
 	return ""
 }
 
-// startSite starts the entries and lets them hear each other.
+// startSite starts the entries and waits until they have exchanged heartbeats.
 func (p *limitSim) startSite(a *simArgs) {
 	p.noTransfers, p.full, p.sharesBackoff = a.noTransfers, a.full, a.sharesBackoff
 	for i := range a.servers {
@@ -381,7 +381,7 @@
 	time.Sleep(time.Second)
 }
 
-// forNamed does something with the entries of some names.
+// forNamed calls do for the entries with the given names.
 func (p *limitSim) forNamed(names string, do func(i int, e *simEntry)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -392,7 +392,7 @@
 	}
 }
 
-// restart begins a new life of an entry, which all others notice at once.
+// restart starts a new incarnation of an entry, which all others notice at once.
 func (p *limitSim) restart(i int, e *simEntry) {
 	e.end()
 	p.entries[i] = p.start(e.name, e.weight)
--- a/services/dispatch/load_test.go
+++ b/services/dispatch/load_test.go
@@ -17,10 +17,10 @@
 	"github.com/runworks/runworks"
 )
 
-// loadEngine is a backend server that works on a batch: each step makes a token for every
-// call that is past its prompt and reads a piece of the first prompt that waits.
+// loadEngine simulates a backend server that processes a batch: each step generates a token for
+// every call whose prompt was read, and reads a chunk of the first unread prompt.
 type loadEngine struct {
-	// slow is how many times as long everything takes as at the fastest.
+	// slow is the factor by which every step takes longer than at the fastest engine.
 	slow  float64
 	slots int
 
@@ -28,18 +28,18 @@
 	batch []*loadCall
 }
 
-// The figures of a fast engine: a step, the reading of a token, the tokens that it reads
-// between two steps, and the tokens that an event holds.
+// Properties of a fast engine: the durations of a step and of reading a token, the tokens read
+// between two steps, and the tokens in an event.
 const (
 	loadStep   = 2600 * time.Microsecond
 	loadRead   = 10 * time.Microsecond
 	loadChunk  = 1024
 	loadStride = 6
-	// loadStart is what passes before the reading of a prompt.
+	// loadStart is the delay before a prompt is read.
 	loadStart = 25 * time.Millisecond
 )
 
-// run makes steps until ctx ends.
+// run executes steps until ctx ends.
 func (e *loadEngine) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.mu.Lock()
@@ -74,13 +74,13 @@
 	e.batch = append(e.batch, c)
 }
 
-// loadCall is a call of a load; its events are told by a channel.
+// loadCall is a call of the simulation; events receives its events.
 type loadCall struct {
 	unread, tokens, made int
 	events               chan struct{}
 }
 
-// token makes a token, and says whether it was the last.
+// token generates a token and reports whether it was the last.
 func (c *loadCall) token() bool {
 	c.made++
 	if c.made%loadStride == 0 || c.made == c.tokens {
@@ -93,19 +93,19 @@
 	return true
 }
 
-// loadKind is a kind of call, and how its calls ended.
+// loadKind is a kind of call with counts of how its calls ended.
 type loadKind struct {
 	rank, prompt, events int
 	perSecond, spread    float64
 	target               time.Duration
-	// required is the part of its calls that must be on time.
+	// required is the fraction of its calls that must be on time.
 	required float64
 	rng      *rand.Rand
 
 	calls, onTime, late, stalled, refused, timedOut int
 }
 
-// loadSim is a scripted loadSim on some fronts.
+// loadSim simulates a scripted load on several fronts.
 type loadSim struct {
 	mu      sync.Mutex
 	fronts  []*Dispatcher
@@ -123,12 +123,12 @@
 	loadDeadline      = 12 * time.Second
 )
 
-// sample gives a size of a mean, spread as a log-normal.
+// sample returns a log-normally distributed size with the given mean.
 func (k *loadKind) sample(mean int, spread float64) int {
 	return max(1, int(float64(mean)*math.Exp(spread*k.rng.NormFloat64()-spread*spread/2)))
 }
 
-// play lets calls come for a time.
+// play generates calls for a span of time.
 func (l *loadSim) play(ctx context.Context, span time.Duration) {
 	var sources sync.WaitGroup
 	for i, k := range l.kinds {
@@ -154,8 +154,8 @@
 	l.work.Wait()
 }
 
-// exchangeLoads lets all fronts hear what the others have, as heartbeats do, until ctx ends: where
-// there are many, those of other halls less often.
+// exchangeLoads reports the load of each front to all others at the heartbeat interval until
+// ctx ends. Where there are many fronts, those of other halls receive it less often.
 func (l *loadSim) exchangeLoads(ctx context.Context) {
 	halls := map[string]int{}
 	for _, front := range l.fronts {
@@ -183,7 +183,7 @@
 	}
 }
 
-// call sends one call and notes how it ended.
+// call sends one call and records how it ended.
 func (l *loadSim) call(ctx context.Context, front *Dispatcher, id string, k *loadKind, c *loadCall, hint int) {
 	arrived := time.Now()
 	prompt := c.unread
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestLoad plays the loads of testdata/load in virtual time and says, for each kind of
-// call, whether at least the wanted part of its calls was on time. The parts themselves
-// are logged: they differ by some hundredths from run to run.
+// TestLoad simulates the loads of testdata/load in virtual time and prints, for each kind of
+// call, whether at least the required fraction of its calls was on time. The fractions are
+// only logged, as they differ by some hundredths from run to run.
 func TestLoad(t *testing.T) {
 	datadriven.RunTest(t, "testdata/load", func(t *testing.T, d *datadriven.TestData) string {
 		l := &loadSim{engines: map[string]*loadEngine{}}
@@ -260,7 +260,7 @@
 	})
 }
 
-// parseKind reads a kind of call.
+// parseKind parses a kind of call.
 func parseKind(t *testing.T, d *datadriven.TestData, line string, seed uint64) *loadKind {
 	k := &loadKind{rng: rand.New(rand.NewPCG(1, seed))}
 	var target int
@@ -272,16 +272,15 @@
 	return k
 }
 
-// fraction is a count as a fraction of all calls.
+// fraction returns a count as a fraction of all calls.
 func (k *loadKind) fraction(n int) float64 { return float64(n) / float64(k.calls) }
 
-// String implements fmt.Stringer.
 func (k *loadKind) String() string {
 	return fmt.Sprintf("rank=%d asked=%d on-time=%.3f late=%.3f paused=%.3f refused=%.3f gave-up=%.3f",
 		k.rank, k.calls, k.fraction(k.onTime), k.fraction(k.late), k.fraction(k.stalled), k.fraction(k.refused), k.fraction(k.timedOut))
 }
 
-// simulate plays the load on so many engines.
+// simulate runs the load on the given numbers of fast and slow engines.
 func (l *loadSim) simulate(halls, fronts, fast, slow, slots int, span time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var list []runworks.Instance
--- a/services/dispatch/model_test.go
+++ b/services/dispatch/model_test.go
@@ -12,7 +12,7 @@
 	"github.com/runworks/runworks"
 )
 
-// TestPrefillModel finds the line behind what was seen, and says nothing on too little.
+// TestPrefillModel fits a line to samples on it, and returns no result for too few samples.
 func TestPrefillModel(t *testing.T) {
 	is := is.New(t)
 	var r prefillModel
@@ -28,8 +28,8 @@
 	is.True(math.Abs(perToken-0.0001) < 1e-9)
 }
 
-// heterogeneous gives a dispatcher that has seen two servers: s0 takes 20 ms between events, s1
-// four times as long; a prompt takes the fastest 50 ms and 10 ms for 1,000 tokens.
+// heterogeneous returns a dispatcher with two servers: s0 takes 20 ms between events, s1 four
+// times as long; the fastest takes 50 ms for a prompt and 10 ms more for each 1,000 tokens.
 func heterogeneous() *Dispatcher {
 	d := newDispatcher(9, 9)
 	for i := range 2 * minPrefillSamples {
@@ -47,15 +47,15 @@
 	return d
 }
 
-// requestWithPrompt is a call with a prompt of so many tokens.
+// requestWithPrompt returns a request with a prompt of the given number of tokens.
 func requestWithPrompt(id string, tokens int) *Request {
 	a := newRequest(id, 0)
 	a.PromptTokens, a.MaxGap = tokens, 250*time.Millisecond
 	return a
 }
 
-// TestLongPromptsAvoidSlowServers sends a long prompt to the busier fast server, as the
-// slow one would pause for all its streams, and lets it wait for it; a short one it takes.
+// TestLongPromptsAvoidSlowServers lets long prompts wait for the busier fast server, as all
+// streams of the slow one would exceed their gaps meanwhile. A short prompt goes to the latter.
 func TestLongPromptsAvoidSlowServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -75,8 +75,8 @@
 	})
 }
 
-// TestUnreadPromptsDelay sends a call to another server than the one that reads a long
-// prompt for another entry, until that is read.
+// TestUnreadPromptsDelay sends a call to another server than the one that is reading a long
+// prompt for another entry, until that prompt is read.
 func TestUnreadPromptsDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -97,7 +97,7 @@
 	})
 }
 
-// TestUnreadPromptsAreReported tells the other entries of a long prompt until it is read.
+// TestUnreadPromptsAreReported reports a long prompt to the other entries until it is read.
 func TestUnreadPromptsAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -113,8 +113,8 @@
 	})
 }
 
-// TestStallsAreAvoided lets a long answer wait for a server without pauses, where it
-// can, and sends a short one to the server with them.
+// TestStallsAreAvoided lets a long answer wait for a server without stalls if it can, and sends
+// a short one to the server with them.
 func TestStallsAreAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -139,9 +139,9 @@
 	})
 }
 
-// TestCallsWaitForServersThatMeetTarget lets a call that could have met its target not go to a
-// server at which it will miss it, also when no server can let it meet it any more, and
-// gives it any as soon as it is late.
+// TestCallsWaitForServersThatMeetTarget does not send a call that could have met its target to
+// a server where it will miss it, even if no server can meet it any more. Once the call is
+// late, it may go anywhere.
 func TestCallsWaitForServersThatMeetTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/services/dispatch/ranks_test.go
+++ b/services/dispatch/ranks_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// TestNoSlotReservedFromShortCalls lets calls of the lowest rank have every slot once they are
-// seen to be shorter than the others.
+// TestNoSlotReservedFromShortCalls lets calls of the lowest rank use every slot once they are
+// known to be shorter than the others.
 func TestNoSlotReservedFromShortCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -14,8 +14,8 @@
 	"github.com/runworks/runworks"
 )
 
-// BenchmarkReport takes a heartbeat in at an entry of a large fleet: 102 other entries, 160
-// engines whose slots are all taken, and so many calls that wait here and at the others.
+// BenchmarkReport applies a load report at an entry of a large site: 102 other entries, 160
+// engines whose slots are all taken, and the given number of calls waiting at each entry.
 func BenchmarkReport(b *testing.B) {
 	for _, waiting := range []int{0, 10, 100} {
 		b.Run(fmt.Sprint("waiting-", waiting), func(b *testing.B) { benchmarkReport(b, waiting) })
@@ -36,16 +36,16 @@
 		list = append(list, runworks.Instance{ID: "i-" + uuid.NewString()[:8], Service: "llm", Hall: fmt.Sprint("h", i%5), Slots: slots})
 	}
 	d.SetServers(list)
-	lives := make([]runworks.Incarnation, peers)
+	incarnations := make([]runworks.Incarnation, peers)
 	loads := make([]runworks.EntryLoad, peers)
 	for i := range peers {
-		lives[i] = runworks.NewIncarnation()
+		incarnations[i] = runworks.NewIncarnation()
 		loads[i] = runworks.EntryLoad{Running: runworks.RunningCalls{}}
 		if waiting > 0 {
 			loads[i].Waiting = runworks.WaitingCalls{"llm": {Rank: 1, Calls: waiting}}
 		}
 	}
-	// All slots are taken but one of every twentieth server.
+	// All slots are taken except one at every twentieth server.
 	for i := range engines * slots {
 		server := list[i%engines].ID
 		if i >= engines && i%engines%20 == 0 && i < 2*engines {
@@ -54,7 +54,7 @@
 		loads[i%peers].Running[server]++
 	}
 	for i := range peers {
-		d.SetPeerLoad(lives[i], loads[i])
+		d.SetPeerLoad(incarnations[i], loads[i])
 	}
 	now := time.Now()
 	for i := range waiting {
@@ -69,25 +69,25 @@
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		d.SetPeerLoad(lives[i%peers], loads[i%peers])
+		d.SetPeerLoad(incarnations[i%peers], loads[i%peers])
 	}
 }
 
-// TestIncrementalCounts lets entries tell and go, and servers come and go, at random: what
-// is counted from each heartbeat's differences is the sum of all entries' last words.
+// TestIncrementalCounts adds and removes entries and servers at random: the counts that are
+// updated by differences equal the sum of the latest reports of all entries.
 func TestIncrementalCounts(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(7, 7))
 	d := &Dispatcher{Hall: "a"}
 	for range 3000 {
-		life := runworks.Incarnation(fmt.Sprint("life-", rng.IntN(12)))
+		id := runworks.Incarnation(fmt.Sprint("life-", rng.IntN(12)))
 		switch rng.IntN(12) {
 		case 0:
-			d.RemovePeer(life)
+			d.RemovePeer(id)
 		case 1:
 			d.SetServers(instances(make([]int, rng.IntN(20))...))
 		default:
-			d.SetPeerLoad(life, randomLoad(rng))
+			d.SetPeerLoad(id, randomLoad(rng))
 		}
 		got := peerCounts(d)
 		for _, s := range d.servers {
@@ -103,7 +103,7 @@
 	}
 }
 
-// randomLoad is what an entry might tell.
+// randomLoad returns a random load report.
 func randomLoad(rng *rand.Rand) runworks.EntryLoad {
 	counts := func() map[string]int {
 		out := map[string]int{}
@@ -119,7 +119,7 @@
 	return load
 }
 
-// peerCounts gives what a dispatcher counts of the other entries at each server.
+// peerCounts returns the counts of the other entries at each server.
 func peerCounts(d *Dispatcher) map[string][4]int {
 	out := map[string][4]int{}
 	for id, s := range d.servers {
@@ -128,8 +128,8 @@
 	return out
 }
 
-// TestShortCallsSkipTurns sends a call that is over before others hear of it to a free
-// slot at once, whoever else said to wait for it.
+// TestShortCallsSkipTurns sends a call that ends before other entries learn of it to a free
+// slot at once, although other entries report waiting calls.
 func TestShortCallsSkipTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -143,28 +143,28 @@
 			d.SetPeerLoad(runworks.Incarnation(fmt.Sprint("rival-", i)), runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1000}}})
 		}
 		d.SetPeerLoad("busy", runningLoad(runworks.RunningCalls{"s0": 5}))
-		d.LocalLoad() // the others know by now of the slots that calls left here
+		d.LocalLoad() // the other entries know of the freed slots by now
 		is.Equal(len(acquireAsync(d, newRequest("short", 0))), 1)
 	})
 }
 
-// TestEjectionByPeers leaves a server out for the word of one other entry where
-// there are few, and of some where there are many.
+// TestEjectionByPeers ejects a server after the report of one other entry in a small site,
+// and after several reports in a large one.
 func TestEjectionByPeers(t *testing.T) {
 	for _, c := range []struct{ entries, needed int }{{4, 1}, {29, 1}, {102, 3}, {360, 8}} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			d := newDispatcher(9, 9)
-			life := func(i int) runworks.Incarnation { return runworks.Incarnation(fmt.Sprint("life-", i)) }
+			incarnation := func(i int) runworks.Incarnation { return runworks.Incarnation(fmt.Sprint("life-", i)) }
 			for i := range c.entries {
-				d.SetPeerLoad(life(i), runworks.EntryLoad{})
+				d.SetPeerLoad(incarnation(i), runworks.EntryLoad{})
 			}
 			for i := range c.needed {
 				is.True(d.servers["s0"].peerEjectedSince.IsZero())
-				d.SetPeerLoad(life(i), runworks.EntryLoad{Ejected: []string{"s0"}})
+				d.SetPeerLoad(incarnation(i), runworks.EntryLoad{Ejected: []string{"s0"}})
 			}
 			is.True(!d.servers["s0"].peerEjectedSince.IsZero())
-			d.SetPeerLoad(life(0), runworks.EntryLoad{})
+			d.SetPeerLoad(incarnation(0), runworks.EntryLoad{})
 			is.True(d.servers["s0"].peerEjectedSince.IsZero())
 		})
 	}
--- a/services/dispatch/start_estimate_test.go
+++ b/services/dispatch/start_estimate_test.go
@@ -14,9 +14,9 @@
 	"github.com/runworks/runworks"
 )
 
-// TestLongLateCallsRefusedFirst lets calls come late for a service all of whose slots are taken:
-// one that would keep its slot for long is refused sooner, and waits like the others where
-// few wait ahead.
+// TestLongLateCallsRefusedFirst sends late calls to a service whose slots are all taken: one
+// that would hold its slot for long is refused earlier than others, but waits like them while
+// the queue is short.
 func TestLongLateCallsRefusedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -65,7 +65,7 @@
 		wait(8) // a second and a half
 		is.True(!refused(late("short again", 10)))
 		is.True(refused(late("long again", 1000)))
-		wait(14) // beyond all patience
+		wait(14) // longer than any caller waits
 		is.True(refused(late("short at last", 10)))
 	})
 }
--- a/services/dispatch/turn.go
+++ b/services/dispatch/turn.go
@@ -62,17 +62,17 @@
 
 // inTurn reports whether fewer contenders than the slots offered are ahead of this entry at a
 // server. With a hundred contenders and one slot, about five are compared before it returns.
-func (d *Dispatcher) inTurn(one *server, contenders []contender, mine runworks.WaitingCall, offered int) bool {
+func (d *Dispatcher) inTurn(one *server, contenders []contender, own runworks.WaitingCall, offered int) bool {
 	ahead := 0
-	own := 0.0
+	ownClaim := 0.0
 	for _, r := range contenders {
 		if ahead >= offered {
 			break
 		}
-		if own == 0 {
-			own = claimWeight(one.ID, d.Self, mine.Calls)
+		if ownClaim == 0 {
+			ownClaim = claimWeight(one.ID, d.Self, own.Calls)
 		}
-		if r.Rank < mine.Rank || claimWeight(one.ID, r.entry, r.Calls) > own {
+		if r.Rank < own.Rank || claimWeight(one.ID, r.entry, r.Calls) > ownClaim {
 			ahead++
 		}
 	}
--- a/services/dispatch/turn_test.go
+++ b/services/dispatch/turn_test.go
@@ -11,7 +11,7 @@
 	"github.com/runworks/runworks"
 )
 
-// entrySet is entries that know each other, before one server of one slot.
+// entrySet holds entries that know each other, all with the same server of one slot.
 type entrySet []*Dispatcher
 
 func newEntries(n int) entrySet {
@@ -24,7 +24,7 @@
 	return all
 }
 
-// heartbeat lets all entries hear what the others have, as one heartbeat does.
+// heartbeat reports the load of each entry to all others.
 func (f entrySet) heartbeat() {
 	for _, from := range f {
 		load := from.LocalLoad()
@@ -37,7 +37,7 @@
 	synctest.Wait()
 }
 
-// fill lets another entry have the only slot, and free ends that at all entries.
+// fill reports a call at the only slot to all entries, and free ends it.
 func (f entrySet) fill() {
 	for _, d := range f {
 		d.SetPeerLoad("elsewhere", runningLoad(runworks.RunningCalls{"s0": 1}))
@@ -51,7 +51,7 @@
 	synctest.Wait()
 }
 
-// started counts the calls that got their server.
+// started counts the calls that got a server.
 func started(waiting []<-chan *Lease) int {
 	n := 0
 	for _, one := range waiting {
@@ -60,8 +60,8 @@
 	return n
 }
 
-// TestFreeSlotUsedByOneEntry frees the only slot while every entry has a call
-// waiting: one of them takes it, and the next only if the first does not say so.
+// TestFreeSlotUsedByOneEntry frees the only slot while a call waits at every entry: one of them
+// uses it, and the next only if the first does not.
 func TestFreeSlotUsedByOneEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -74,7 +74,7 @@
 		all.heartbeat()
 		all.free()
 		is.Equal(started(waiting), 1)
-		for range 10 { // what runs is known now: nobody else starts
+		for range 10 { // the running call is known now: no other starts
 			time.Sleep(turnDuration / 2)
 			all.heartbeat()
 			for _, d := range all {
@@ -83,11 +83,11 @@
 			synctest.Wait()
 		}
 		is.Equal(started(waiting), 1)
-		time.Sleep(time.Minute) // those that wait are given up
+		time.Sleep(time.Minute) // waiting calls are abandoned
 	})
 }
 
-// TestUnusedTurnPasses lets the next entry use a slot that the first in turn leaves.
+// TestUnusedTurnPasses lets the next entry use a slot that the first in turn left unused.
 func TestUnusedTurnPasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -108,8 +108,8 @@
 	})
 }
 
-// TestHigherRankAtOtherEntryFirst leaves a free slot to the entry with the more
-// urgent call, however many less urgent ones wait here.
+// TestHigherRankAtOtherEntryFirst leaves a free slot to the entry with the call of the higher
+// rank, however many calls of lower ranks wait here.
 func TestHigherRankAtOtherEntryFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,12 +124,12 @@
 		all.free()
 		is.Equal(started(low), 0)
 		is.Equal(len(urgent), 1)
-		time.Sleep(time.Minute) // those that wait are given up
+		time.Sleep(time.Minute) // waiting calls are abandoned
 	})
 }
 
-// TestOwnFreedSlotIsReused gives a slot that a call left to one that waits here, as the
-// others do not know yet that it is free.
+// TestOwnFreedSlotIsReused gives a slot that a call freed to one that waits here, as the other
+// entries do not know yet that it is free.
 func TestOwnFreedSlotIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
