--- a/daemon/front.go
+++ b/daemon/front.go
@@ -79,7 +79,7 @@
 	store   *platform.Store
 	watches map[peers.Subject]*platform.Watch
 	members *platform.Members
-	limits  *platform.Limits
+	limits  *platform.LimitUsage
 	// suspects keeps the quarantine's record.
 	suspects *platform.Suspects
 	// asking holds the subjects that another front is being asked for.
@@ -171,13 +171,13 @@
 	d.budgets = &forward.Budgets{Ratio: s.RetryRatio, Slack: s.RetrySlack, Started: time.Now(), Window: s.RetryWindow}
 	d.quarantine = &quarantine.Quarantine{ExitThreshold: s.QuarantineAfter, Duration: s.QuarantineFor, OnUpdate: d.onSuspect, OnQuarantine: d.onHeld, OnRelease: d.onLifted}
 	d.opened = make(chan struct{})
-	d.pool = &httpconn.Pool{Dial: dial, Recognise: platform.Recognise}
+	d.pool = &httpconn.Pool{Dial: dial, Recognise: platform.AnswersRequest}
 	d.forwarder = &forward.Forwarder{
 		Ready: d.opened, Dispatcher: d.dispatcher, Quota: d.quota, Budgets: d.budgets, Quarantine: d.quarantine, Logger: d.Logger, Metrics: d.metrics, Tracer: tracer,
 		Sender: &platform.Sender{Pool: d.pool},
 	}
 	d.front = &platform.Front{Forwarder: d.forwarder, Logger: d.Logger, MaxBodyBytes: s.MaxBodyBytes}
-	d.store = &platform.Store{Address: s.Store, Client: &http.Client{Transport: &http.Transport{DialContext: dial, DisableCompression: true}}, OnReturn: d.onReturn}
+	d.store = &platform.Store{Address: s.Store, Client: &http.Client{Transport: &http.Transport{DialContext: dial, DisableCompression: true}}, OnRestored: d.onReturn}
 	d.exchange = &peers.Exchange{
 		Self: self,
 		Dial: dial, Keys: rpc.FleetKeys(s.FleetKeys), Logger: d.Logger,
@@ -189,7 +189,7 @@
 		OnSuspects:    func(_ string, list []runworks.Suspect) { d.quarantine.Apply(time.Now(), list) },
 		ServerNotices: d.dispatcher.ServerNotices, OnServerNotices: d.dispatcher.ApplyNotices, TransferPermits: d.dispatcher.TransferPermits,
 	}
-	d.suspects = &platform.Suspects{Store: d.store, Quarantine: d.quarantine, Front: s.Name, Logger: d.Logger, OnTried: d.takeHeld}
+	d.suspects = &platform.Suspects{Store: d.store, Quarantine: d.quarantine, Front: s.Name, Logger: d.Logger, OnFirstReadDone: d.takeHeld}
 	d.watch()
 	return flushSpans, nil
 }
@@ -261,7 +261,7 @@
 		return errorx.Decorate(runworks.ErrNotReady, "what customers drew before the start is not known")
 	case !d.exchange.Settled(time.Now()):
 		return errorx.Decorate(runworks.ErrNotReady, "no other front was heard yet")
-	case !d.suspects.Tried():
+	case !d.suspects.FirstReadDone():
 		return errorx.Decorate(runworks.ErrNotReady, "the requests that end backend servers are not known")
 	case !d.isOpen() && d.routingBehind(time.Now()):
 		return errorx.Decorate(runworks.ErrNotReady, "another front has a newer routing")
--- a/daemon/front_follow.go
+++ b/daemon/front_follow.go
@@ -34,14 +34,14 @@
 	for subject, w := range d.watches {
 		d.asking[subject] = &atomic.Bool{}
 		w.Store, w.Logger = d.store, d.Logger
-		w.Fronts = func() int { return min(d.exchange.LiveCount()+1, peers.StoreReaders) }
-		w.Listeners = d.exchange.LiveCount
-		w.Reads = d.exchange.ReadsStore
+		w.ReaderCount = func() int { return min(d.exchange.LiveCount()+1, peers.StoreReaders) }
+		w.ListenerCount = d.exchange.LiveCount
+		w.ShouldRead = d.exchange.ReadsStore
 		w.OnRead = func(from runworks.Position, page *platform.Page) { d.tell(subject, from, page) }
 	}
 	d.members = &platform.Members{Store: d.store, Self: d.exchange.Self, Logger: d.Logger, OnMembers: d.onMembers}
-	d.members.Fronts = func() int { return d.exchange.LiveCount() + 1 }
-	d.limits = &platform.Limits{Store: d.store, Quota: d.quota, Logger: d.Logger, OnTold: d.takeHeld}
+	d.members.FrontCount = func() int { return d.exchange.LiveCount() + 1 }
+	d.limits = &platform.LimitUsage{Store: d.store, Quota: d.quota, Logger: d.Logger, OnLoaded: d.takeHeld}
 }
 
 // follow keeps this front's knowledge up to date.
@@ -90,7 +90,7 @@
 
 // told takes what another front read from the store.
 func (d *Front) told(from string, c *peers.Change) {
-	if w := d.watches[c.Subject]; w != nil && w.Told(c.From, c.Next, c.Records) {
+	if w := d.watches[c.Subject]; w != nil && w.ApplyChanges(c.From, c.Next, c.Records) {
 		d.Logger.Info("changes told by another front", "name", from, "subject", c.Subject, "era", c.Next.Era, "from_offset", c.From.Offset, "offset", c.Next.Offset, "records", len(c.Records))
 	}
 }
@@ -102,8 +102,8 @@
 	if w == nil || !position.After(w.Position()) {
 		return
 	}
-	if !w.Lost() {
-		w.Hint(position)
+	if !w.StoreLost() {
+		w.NotifyPosition(position)
 		return
 	}
 	d.ask(subject, func() { d.learn(from, subject, w) })
@@ -136,7 +136,7 @@
 	if !d.askState(from, subject, &s) {
 		return
 	}
-	if w.Take(&s) {
+	if w.ApplySnapshot(&s) {
 		d.Logger.Info("learned from another front", "name", from, "subject", subject, "era", s.Era, "offset", s.Offset)
 		return
 	}
@@ -177,10 +177,10 @@
 	metrics.Count(d.metrics.StoreReturns)
 	d.Logger.Warn("the store came back from an older copy", "era", era)
 	for _, w := range d.watches {
-		w.Returned(era)
+		w.StoreRestored(era)
 	}
-	d.members.Returned()
-	d.suspects.Returned()
+	d.members.StoreRestored()
+	d.suspects.StoreRestored()
 	d.quota.RecordLost(time.Now())
 }
 
@@ -188,7 +188,7 @@
 	b := peers.Heartbeat{Load: d.dispatcher.LocalLoad(), Positions: map[peers.Subject]runworks.Position{}, RoutingVersion: d.routingVersion()}
 	for subject, w := range d.watches {
 		b.Positions[subject] = w.Position()
-		b.StoreLost = b.StoreLost || w.Lost()
+		b.StoreLost = b.StoreLost || w.StoreLost()
 	}
 	return b
 }
--- a/daemon/front_quarantine.go
+++ b/daemon/front_quarantine.go
@@ -11,7 +11,7 @@
 func (d *Front) onSuspect(s runworks.Suspect, record bool) {
 	d.exchange.SendSuspects(s)
 	if record {
-		d.suspects.Note(s.Fingerprint)
+		d.suspects.Enqueue(s.Fingerprint)
 	}
 }
 
--- a/daemon/front_routing.go
+++ b/daemon/front_routing.go
@@ -35,7 +35,7 @@
 	}
 	d.noteNewest(version)
 	w := d.watches[peers.SubjectRouting]
-	if !w.Known() {
+	if !w.Loaded() {
 		return
 	}
 	d.ask(peers.SubjectRouting, func() {
--- a/services/dispatch/backoff.go
+++ b/services/dispatch/backoff.go
@@ -3,56 +3,55 @@
 import "time"
 
 const (
-	// maxBackoff bounds how long a server is left alone by one word of it: after an hour it is
-	// asked again.
+	// maxBackoff bounds the back-off of a single report: a server is tried again after an hour.
 	maxBackoff = time.Hour
-	// minBackoffChange is how much longer a rest must become to be told of: calls that were sent
-	// together are turned away some milliseconds apart.
+	// minBackoffChange is by how much a back-off must be extended for OnBackoff to be called
+	// again: calls that were sent together are rejected some milliseconds apart.
 	minBackoffChange = 500 * time.Millisecond
-	// rampStep is the time in which what an entry may send after a rest doubles, from one call
-	// on: in it a server that still has no room says so, before it gets all that its slots
-	// would hold, and the other entries hear of the calls.
+	// rampStep is the time in which the number of calls that an entry may send after a back-off
+	// doubles, starting at one. Within it, a server that still has no capacity rejects a call
+	// before all of its slots are filled, and the other entries are informed of the calls.
 	rampStep = 100 * time.Millisecond
-	// rampSteps is after how many of them an entry may send all that the slots hold.
+	// rampSteps is the number of steps after which only the slots bound the calls.
 	rampSteps = 8
 )
 
-// backoff is the time in which a server wants nothing from this entry, and the moment after it;
-// the zero value is none. A server that rests has not failed: it is left alone, and has its
-// full load afterwards, one step after the other, as all calls that waited for it would else
-// come at once.
+// backoff is the time for which a server asked this entry to send nothing, and the ramp-up after
+// it; the zero value is none. A back-off is not a failure: the server is not ejected, and it gets
+// its full load again afterwards. The ramp-up keeps all calls that waited for the end of the
+// back-off from arriving at once.
 type backoff struct {
 	until time.Time
-	// sent is how many calls were sent since.
+	// sent is the number of calls sent since until was set.
 	sent int
 }
 
-// extend takes the server's word that it wants rest for a time, and says whether that is news. Of
-// several words, on answers that overtake each other, the longest holds.
-func (r *backoff) extend(now time.Time, lasts time.Duration) bool {
-	until := now.Add(min(lasts, maxBackoff))
-	if !until.After(r.until) {
+// extend applies a back-off that a server requested and reports whether it is a relevant change.
+// Of several requests, whose responses may arrive out of order, the one that ends last counts.
+func (b *backoff) extend(now time.Time, duration time.Duration) bool {
+	until := now.Add(min(duration, maxBackoff))
+	if !until.After(b.until) {
 		return false
 	}
-	news := !r.active(now) || until.Sub(r.until) >= minBackoffChange
-	r.until, r.sent = until, 0
-	return news
+	changed := !b.active(now) || until.Sub(b.until) >= minBackoffChange
+	b.until, b.sent = until, 0
+	return changed
 }
 
-// active says whether the server wants nothing now.
-func (r *backoff) active(now time.Time) bool { return now.Before(r.until) }
+// active reports whether the back-off lasts at the given time.
+func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// wait is in how many seconds the rest ends.
-func (r *backoff) wait(now time.Time) float64 { return max(r.until.Sub(now), 0).Seconds() }
+// wait returns the seconds until the back-off ends.
+func (b *backoff) wait(now time.Time) float64 { return max(b.until.Sub(now), 0).Seconds() }
 
-// admits says whether a call may be sent, as far as the rest is concerned.
-func (r *backoff) admits(now time.Time) bool {
-	if r.active(now) {
+// admits reports whether the back-off and the ramp-up after it allow another call.
+func (b *backoff) admits(now time.Time) bool {
+	if b.active(now) {
 		return false
 	}
-	step := int(now.Sub(r.until) / rampStep)
-	return step >= rampSteps || r.sent < 1<<step
+	step := int(now.Sub(b.until) / rampStep)
+	return step >= rampSteps || b.sent < 1<<step
 }
 
 // countSent counts a call that is sent.
-func (r *backoff) countSent() { r.sent++ }
+func (b *backoff) countSent() { b.sent++ }
--- a/services/dispatch/backoff_press_test.go
+++ b/services/dispatch/backoff_press_test.go
@@ -9,63 +9,70 @@
 )
 
 const (
-	// A server that asked an entry for rest gets at most restExtra calls from it between
-	// restBound after that and the end of the time: the users' rule.
-	restBound = 500 * time.Millisecond
-	restExtra = 2
-	// pressSends bounds the servers that are asked for one call, as package forward does.
-	pressSends = 4
-	// pressSlots is how many calls a server works on at once.
+	// The system has to guarantee that an entry sends a server at most maxExtraCalls between
+	// backoffReaction after the server requested a back-off and the end of the back-off.
+	backoffReaction = 500 * time.Millisecond
+	maxExtraCalls   = 2
+	// maxPressSends bounds the servers that a call is sent to, as in package forward.
+	maxPressSends = 4
+	// pressSlots is the number of calls that a server runs at once.
 	pressSlots = 7
-	// fairPart is how much of its equal part of the calls a server gets at least that rests
-	// no more.
-	fairPart = 0.6
+	// minFairShare is the least fraction of its equal share of the calls that a server has to get
+	// after its back-off.
+	minFairShare = 0.6
 )
 
-// pressRests are the rests that servers of a press ask for.
-type pressRests struct {
-	// lasts is for how long a server that turns all calls away asks to be left alone.
-	lasts map[string]time.Duration
-	// askedFor are the rests that a server asked an entry's life for.
-	askedFor map[string][]*pressRest
-	// running is how many calls a server works on, and at how many it began since the last
-	// look, by server.
+// pressBackoffs is the state of the back-offs that the servers of a press test request.
+type pressBackoffs struct {
+	// durations holds the back-offs that servers request with each rejected call.
+	durations map[string]time.Duration
+	// requested holds the back-offs by entry and server.
+	requested map[string][]*pressBackoff
+	// running and began count the calls of each server: those that run, and those that started
+	// since the last count.
 	running, began map[string]int
-	// rested and found count the calls that servers turned away, as they rest and as they
-	// had no slot.
-	rested, found int
+	// backedOff and foundFull count the calls rejected because of a back-off and of a lack of
+	// slots.
+	backedOff, foundFull int
 }
 
-func newPressRests() pressRests {
-	return pressRests{lasts: map[string]time.Duration{}, askedFor: map[string][]*pressRest{}, running: map[string]int{}, began: map[string]int{}}
+func newPressBackoffs() pressBackoffs {
+	return pressBackoffs{
+		durations: map[string]time.Duration{}, requested: map[string][]*pressBackoff{},
+		running: map[string]int{}, began: map[string]int{},
+	}
 }
 
-// pressRest is a rest that an entry was asked for, and the calls that it sent in it.
-type pressRest struct {
-	at   time.Time
-	ends time.Time
-	got  int
+// pressBackoff is a back-off that was requested of an entry, and the number of calls that the
+// entry sent during it.
+type pressBackoff struct {
+	at    time.Time
+	until time.Time
+	calls int
 }
 
-// turnedAway has a call arrive at its server, which may turn it away.
-func (p *limitSim) turnedAway(e *simEntry, lease *Lease) bool {
+// rejects simulates the arrival of a call at its server and reports whether the server rejects
+// it.
+func (p *limitSim) rejects(e *simEntry, lease *Lease) bool {
 	server := lease.Instance.ID
 	key := string(e.Self) + " " + server
 	now := time.Now()
 	p.mu.Lock()
-	for _, rest := range p.askedFor[key] {
-		if now.Sub(rest.at) > restBound && now.Before(rest.ends) {
-			rest.got++
+	for _, one := range p.requested[key] {
+		if now.Sub(one.at) > backoffReaction && now.Before(one.until) {
+			one.calls++
 		}
 	}
-	lasts := p.lasts[server]
+	duration := p.durations[server]
 	full := p.full && p.running[server] >= pressSlots
 	switch {
-	case lasts > 0:
-		p.rested++
-		p.askedFor[key] = append(p.askedFor[key], &pressRest{at: now.Add(simLatency), ends: now.Add(simLatency + lasts)})
+	case duration > 0:
+		p.backedOff++
+		p.requested[key] = append(p.requested[key], &pressBackoff{
+			at: now.Add(simLatency), until: now.Add(simLatency + duration),
+		})
 	case full:
-		p.found++
+		p.foundFull++
 	default:
 		p.running[server]++
 		p.began[server]++
@@ -74,64 +81,66 @@
 	}
 	p.mu.Unlock()
 	time.Sleep(simLatency)
-	lease.ApplyReport(&runworks.ServerReport{Backoff: lasts}, now)
+	lease.ApplyReport(&runworks.ServerReport{Backoff: duration}, now)
 	lease.Release(Rejected)
-	if p.sharesBackoff && lasts > 0 {
-		p.shareRest(e, server, lasts)
+	if p.sharesBackoff && duration > 0 {
+		p.shareBackoff(e, server, duration)
 	}
 	return true
 }
 
-// shareRest has all others leave a server alone that asked one entry for rest.
-func (p *limitSim) shareRest(from *simEntry, server string, lasts time.Duration) {
+// shareBackoff applies a back-off that was requested of one entry to all entries that it
+// reaches.
+func (p *limitSim) shareBackoff(from *simEntry, server string, duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, to := range p.entries {
 		if to != from && from.reaches(to) {
 			to.mu.Lock()
-			to.applyBackoffLocked(time.Now(), to.servers[server], lasts)
+			to.applyBackoffLocked(time.Now(), to.servers[server], duration)
 			to.mu.Unlock()
 		}
 	}
 }
 
-// left has a call leave its server.
-func (p *limitSim) left(server string) { p.running[server]-- }
+// releaseSlot ends a call at its server.
+func (p *limitSim) releaseSlot(server string) { p.running[server]-- }
 
-// stepRests runs a line of a script that concerns rests; ok is false for others.
-func (p *limitSim) stepRests(t *testing.T, step string, a *simArgs) (out string, ok bool) {
+// stepBackoff runs a line of a script that concerns back-offs; ok is false for other lines.
+func (p *limitSim) stepBackoff(t *testing.T, step string, a *simArgs) (out string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch step {
 	case "rest":
 		for i := range a.limited {
-			p.lasts[p.servers[i]] = time.Duration(a.seconds) * time.Second
+			p.durations[p.servers[i]] = time.Duration(a.seconds) * time.Second
 		}
 	case "wake-up":
-		p.lasts = map[string]time.Duration{}
+		p.durations = map[string]time.Duration{}
 	case "rested":
 		most := 0
-		for _, list := range p.askedFor {
-			for _, rest := range list {
-				most = max(most, rest.got)
+		for _, list := range p.requested {
+			for _, one := range list {
+				most = max(most, one.calls)
 			}
 		}
-		t.Logf("at most %d calls in a rest; %d turned away for rest, %d without a slot", most, p.rested, p.found)
-		p.rested, p.found = 0, 0
-		return fmt.Sprintf("rested=%t\n", most <= restExtra), true
+		t.Logf("at most %d calls in a back-off; %d rejected because of a back-off, %d without a slot",
+			most, p.backedOff, p.foundFull)
+		p.backedOff, p.foundFull = 0, 0
+		return fmt.Sprintf("rested=%t\n", most <= maxExtraCalls), true
 	case "full-load":
 		return p.fullLoad(t, a.limited), true
 	case "count":
-		t.Logf("%d found no slot while the rests ended", p.found)
-		p.began, p.found = map[string]int{}, 0
+		t.Logf("%d found no slot while the back-offs ended", p.foundFull)
+		p.began, p.foundFull = map[string]int{}, 0
 	default:
 		return "", false
 	}
 	return "", true
 }
 
-// fullLoad says whether the first of the servers, which rest no more, had their part of the
-// calls since they were last counted.
+// fullLoad reports whether the first servers, whose back-offs are over, got minFairShare of
+// their equal share of the calls since the last count.
 func (p *limitSim) fullLoad(t *testing.T, first int) string {
 	sum, part := 0, 0
 	for i, server := range p.servers {
@@ -141,10 +150,10 @@
 		}
 	}
 	got := float64(part) / float64(sum) * float64(len(p.servers)) / float64(first)
-	t.Logf("%d calls of %d, %.2f of an equal part; %d found no slot", part, sum, got, p.found)
-	return fmt.Sprintf("full-load=%t\n", got >= fairPart)
+	t.Logf("%d calls of %d, %.2f of an equal share; %d found no slot", part, sum, got, p.foundFull)
+	return fmt.Sprintf("full-load=%t\n", got >= minFairShare)
 }
 
-// TestServerRests presses on servers that ask for rest in virtual time, through entries that
-// start, stand still and are cut off.
-func TestServerRests(t *testing.T) { runLimitSims(t, "testdata/backoff") }
+// TestServerBackoff runs entries against servers that request back-offs, in virtual time, while
+// entries restart, freeze and are disconnected.
+func TestServerBackoff(t *testing.T) { runLimitSims(t, "testdata/backoff") }
--- a/services/dispatch/dispatch_test.go
+++ b/services/dispatch/dispatch_test.go
@@ -370,13 +370,13 @@
 		is := is.New(t)
 		d := newDispatcher(6)
 		for i := range 40 {
-			lease := taken(t, d, fmt.Sprint("short", i))
+			lease := mustAcquire(t, d, fmt.Sprint("short", i))
 			time.Sleep(25 * time.Millisecond)
 			lease.Release(Served)
 		}
 		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s0": 6}))
 		for i := range 12 { // 6 slots, free twice in freeSoon
-			taken(t, d, fmt.Sprint(i))
+			mustAcquire(t, d, fmt.Sprint(i))
 		}
 		waiting := acquireAsync(d, newRequest("one too many", 0))
 		is.Equal(len(waiting), 0)
--- a/services/dispatch/expiry_test.go
+++ b/services/dispatch/expiry_test.go
@@ -12,7 +12,7 @@
 	"github.com/runworks/runworks"
 )
 
-// ids gives the ids of a list, in order.
+// ids returns the sorted server IDs of a list.
 func ids(list []runworks.Instance) string {
 	var out []string
 	for _, one := range list {
@@ -22,9 +22,10 @@
 	return strings.Join(out, " ")
 }
 
-// TestLapsedRecords keeps servers whose records went all at once, until they are back
-// or the time for that is over; one that goes by itself, or said so, goes at once.
-func TestLapsedRecords(t *testing.T) {
+// TestExpiredRecords checks that servers whose records disappear together are kept until the
+// records return or the grace period ends, and that a server that disappears alone, or had
+// announced that it drains, is removed at once.
+func TestExpiredRecords(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var l ExpiryFilter
@@ -32,37 +33,37 @@
 	list, next := l.Merge(now, all)
 	is.Equal(ids(list), "s0 s1 s2 s3 s4 s5")
 	is.Equal(next, time.Duration(0))
-	list, next = l.Merge(now, all[1:]) // one leaves
+	list, next = l.Merge(now, all[1:]) // one exits
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	is.Equal(next, time.Duration(0))
 	all[1].Draining = true
 	_, _ = l.Merge(now, all[1:])
-	list, next = l.Merge(now, nil) // the store lost them; s1 had said that it leaves
+	list, next = l.Merge(now, nil) // the store lost the records; s1 had announced that it drains
 	is.Equal(ids(list), "s2 s3 s4 s5")
 	is.Equal(next, expiryGrace)
 	now = now.Add(expiryGrace / 2)
-	list, next = l.Merge(now, all[4:]) // two are back
+	list, next = l.Merge(now, all[4:]) // two have returned
 	is.Equal(ids(list), "s2 s3 s4 s5")
 	is.Equal(next, expiryGrace/2)
-	list, next = l.Merge(now, nil) // and gone again
+	list, next = l.Merge(now, nil) // and disappeared again
 	is.Equal(ids(list), "s2 s3 s4 s5")
-	is.Equal(next, expiryGrace/2) // the first of them
+	is.Equal(next, expiryGrace/2) // until the grace period of the first ends
 	list, next = l.Merge(now.Add(next), all[4:])
 	is.Equal(ids(list), "s4 s5")
 	is.Equal(next, time.Duration(0))
 }
 
-// TestRecordsOfAnOlderCopy gives no calls to a server that had gone before the store came back
-// from an older copy, as long as its record may be the copy's, and keeps one that came since
-// the copy was made for the time in which it writes its record again.
-func TestRecordsOfAnOlderCopy(t *testing.T) {
+// TestRecordsOfRestoredStore checks what a store that was restored from an older copy may bring
+// back: a server that had been removed gets no calls while its record may be that of the copy,
+// and one that started after the copy was made is kept until it has written its record again.
+func TestRecordsOfRestoredStore(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var l ExpiryFilter
 	all := instances(1, 1, 1, 1, 1, 1)
 	_, _ = l.Merge(now, all[:5]) // the copy is made
 	now = now.Add(time.Second)
-	list, _ := l.Merge(now, slices.Clone(all[1:])) // s0 went, and s5 came
+	list, _ := l.Merge(now, slices.Clone(all[1:])) // s0 exited and s5 started
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	now = now.Add(time.Second)
 	l.StoreRestored(now)
@@ -70,17 +71,18 @@
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	is.Equal(next, expiryGrace)
 	now = now.Add(expiryGrace / 2)
-	list, next = l.Merge(now, slices.Clone(all)) // s5 wrote again
+	list, next = l.Merge(now, slices.Clone(all)) // s5 has written its record again
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	is.Equal(next, restoreGrace-expiryGrace/2)
 	list, next = l.Merge(now.Add(next-1), slices.Clone(all))
 	is.Equal(ids(list), "s1 s2 s3 s4 s5")
 	is.Equal(next, time.Duration(1))
-	list, next = l.Merge(now.Add(restoreGrace), slices.Clone(all)) // it is still there: it lives
+	// s0 is still listed, so the server renews its record.
+	list, next = l.Merge(now.Add(restoreGrace), slices.Clone(all))
 	is.Equal(ids(list), "s0 s1 s2 s3 s4 s5")
 	is.Equal(next, time.Duration(0))
 
-	// One that goes and comes back after that is no older copy's.
+	// A record that disappears and returns after that does not come from the copy.
 	now = now.Add(2 * restoreGrace)
 	_, _ = l.Merge(now, slices.Clone(all[1:]))
 	list, _ = l.Merge(now, slices.Clone(all))
--- a/services/dispatch/health.go
+++ b/services/dispatch/health.go
@@ -3,43 +3,42 @@
 import "time"
 
 const (
-	// unresponsiveTimeout is how long a server that has calls of this entry may give nothing at
-	// all: many times the pause between two events, and the first event of a long
-	// prompt is there by then.
+	// unresponsiveTimeout is how long a server with calls of this entry may send nothing before
+	// it is ejected. It is many times the pause between two events, and long enough for the
+	// first event of a long prompt.
 	unresponsiveTimeout = time.Second
-	// unresponsiveFactor is how many times the mean time to an answer's head a server
-	// may be silent, where that is more.
+	// unresponsiveFactor times the mean time to the response headers replaces
+	// unresponsiveTimeout where it is longer.
 	unresponsiveFactor = 4
-	// responseWeight is the weight of the newest answer in the mean time to its head.
+	// responseWeight is the weight of the newest response in the mean time to its headers.
 	responseWeight = 0.05
-	// minErrors is how many calls in a row a server must have answered by a failure, at
-	// all entries together, and failedFactor how many times as many as the others of
-	// its service on average, before it is left out for failedSuspension: some calls
-	// fail at every server.
+	// A server is ejected for errorEjection after minErrors calls in a row that it answered with
+	// an error, counted over all entries, if that is errorFactor times as many as the other
+	// servers of its service have on average: some calls fail at every server.
 	minErrors     = 5
 	errorFactor   = 3
 	errorEjection = time.Second
-	// entriesPerEjection is for how many other entries one more of them has to leave a server
-	// out before all do: a call or two broken by chance are met by some entry of a hundred
-	// all the time, and what is really lost is met by several.
+	// entriesPerEjection is the number of other entries for which one more of them has to eject
+	// a server before all do. Among a hundred entries some always see one or two calls fail by
+	// chance, while an outage of a server is seen by several.
 	entriesPerEjection = 50
 )
 
-// healthy says whether calls may be sent to a server as long as others can do the
-// work. What other entries say of it counts until it was heard here.
+// healthy reports whether calls should be sent to a server while other servers have capacity.
+// An ejection by other entries counts until this entry receives data from the server again.
 func (s *service) healthy(now time.Time, one *server) bool {
-	doubted := !one.peerEjectedSince.IsZero() && !one.lastReceived.After(one.peerEjectedSince)
-	return !one.Draining && !doubted && !one.failing(now, s)
+	ejected := !one.peerEjectedSince.IsZero() && !one.lastReceived.After(one.peerEjectedSince)
+	return !one.Draining && !ejected && !one.failing(now, s)
 }
 
-// failing says whether calls of this entry speak against a server.
-func (s *server) failing(now time.Time, of *service) bool {
-	return s.addressReused || now.Before(s.ejectedUntil) || s.unresponsive(now, of)
+// failing reports whether a server is ejected because of calls of this entry.
+func (s *server) failing(now time.Time, svc *service) bool {
+	return s.addressReused || now.Before(s.ejectedUntil) || s.unresponsive(now, svc)
 }
 
-// unresponsive says whether a server gave nothing for so long that its calls are likely
-// to be lost.
-func (s *server) unresponsive(now time.Time, of *service) bool {
+// unresponsive reports whether a server with calls of this entry has sent nothing for so long
+// that the calls are probably lost.
+func (s *server) unresponsive(now time.Time, svc *service) bool {
 	if s.ownCalls == 0 {
 		return false
 	}
@@ -48,25 +47,26 @@
 		last = s.lastReceived
 	}
 	limit := unresponsiveTimeout
-	if of != nil {
-		limit = max(limit, time.Duration(unresponsiveFactor*float64(of.responseTime)*float64(time.Second)))
+	if svc != nil {
+		limit = max(limit, time.Duration(unresponsiveFactor*float64(svc.responseTime)*float64(time.Second)))
 	}
 	return now.Sub(last) > limit
 }
 
-// watchUnresponsiveLocked tells of servers that fell silent or were heard again.
+// watchUnresponsiveLocked calls OnUnresponsive for servers that became unresponsive or responsive
+// again.
 func (d *Dispatcher) watchUnresponsiveLocked(now time.Time) {
 	for _, one := range d.servers {
-		silent := one.unresponsive(now, d.services[one.Service])
-		if silent != one.wasUnresponsive && d.OnUnresponsive != nil {
-			d.OnUnresponsive(one.Instance, silent)
+		unresponsive := one.unresponsive(now, d.services[one.Service])
+		if unresponsive != one.wasUnresponsive && d.OnUnresponsive != nil {
+			d.OnUnresponsive(one.Instance, unresponsive)
 		}
-		one.wasUnresponsive = silent
+		one.wasUnresponsive = unresponsive
 	}
 }
 
-// notePeerEjectionsLocked keeps since when other entries leave a server out. After their word
-// one more failure here is enough.
+// notePeerEjectionsLocked records since when enough other entries eject a server. While they do,
+// one more failed call here ejects it.
 func (d *Dispatcher) notePeerEjectionsLocked(now time.Time, s *server) {
 	before := s.peerEjectedSince
 	switch {
@@ -81,8 +81,8 @@
 	}
 }
 
-// ejectFailingLocked leaves out the servers of a service that answer by failures while the
-// others do not.
+// ejectFailingLocked ejects the servers of a service that answer with errors while the others do
+// not.
 func (d *Dispatcher) ejectFailingLocked(now time.Time, s *service) {
 	sum, n := 0, 0
 	for _, one := range s.servers {
@@ -93,7 +93,8 @@
 	}
 	for _, one := range s.servers {
 		failed := one.ownErrors + one.peerErrors
-		if one.ownErrors == 0 || failed < minErrors || failed*(n-1) < errorFactor*(sum-failed) || now.Before(one.ejectedUntil) {
+		if one.ownErrors == 0 || failed < minErrors || failed*(n-1) < errorFactor*(sum-failed) ||
+			now.Before(one.ejectedUntil) {
 			continue
 		}
 		one.ownErrors = 0
@@ -104,7 +105,7 @@
 	}
 }
 
-// RecordHeaders records that the head of the call's answer came.
+// RecordHeaders records that the headers of the call's response arrived.
 func (l *Lease) RecordHeaders() {
 	d := l.dispatcher
 	d.mu.Lock()
--- a/services/dispatch/health_test.go
+++ b/services/dispatch/health_test.go
@@ -11,8 +11,8 @@
 	"github.com/runworks/runworks"
 )
 
-// taken gives the server that a call gets at once.
-func taken(t *testing.T, d *Dispatcher, id string) *Lease {
+// mustAcquire acquires a lease that must be available at once.
+func mustAcquire(t *testing.T, d *Dispatcher, id string) *Lease {
 	t.Helper()
 	lease := <-acquireAsync(d, newRequest(id, 0))
 	if lease == nil {
@@ -21,16 +21,19 @@
 	return lease
 }
 
-// TestSilentServerGetsNothing leaves a server out that gives nothing to the calls it
-// has, tells the others so, and uses it again once something came.
-func TestSilentServerGetsNothing(t *testing.T) {
+// TestUnresponsiveServerIsEjected checks that a server that sends nothing to its calls is
+// ejected, that the other entries are informed, and that it is used again once it sends
+// something.
+func TestUnresponsiveServerIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9)
-		var told []string
-		d.OnUnresponsive = func(s runworks.Instance, silent bool) { told = append(told, fmt.Sprint(s.ID, " ", silent)) }
+		var changes []string
+		d.OnUnresponsive = func(s runworks.Instance, unresponsive bool) {
+			changes = append(changes, fmt.Sprint(s.ID, " ", unresponsive))
+		}
 		d.SetPeerLoad("other", runningLoad(runworks.RunningCalls{"s1": 5}))
-		silent := taken(t, d, "silent")
+		silent := mustAcquire(t, d, "silent")
 		is.Equal(silent.Instance.ID, "s0")
 		silent.RecordHeaders()
 		is.Equal(len(d.LocalLoad().Ejected), 0)
@@ -38,98 +41,101 @@
 		is.Equal(d.LocalLoad().Ejected, []string{"s0"})
 		d.pumpAll()
 		for i := range 3 {
-			is.Equal(taken(t, d, fmt.Sprint(i)).Instance.ID, "s1")
+			is.Equal(mustAcquire(t, d, fmt.Sprint(i)).Instance.ID, "s1")
 		}
 		silent.RecordFirstEvent(0)
 		d.pumpAll()
-		is.Equal(told, []string{"s0 true", "s0 false"})
-		is.Equal(taken(t, d, "again").Instance.ID, "s0")
+		is.Equal(changes, []string{"s0 true", "s0 false"})
+		is.Equal(mustAcquire(t, d, "again").Instance.ID, "s0")
 	})
 }
 
-// TestSlowServiceIsNotSilent gives servers time that take long for every answer.
-func TestSlowServiceIsNotSilent(t *testing.T) {
+// TestSlowServiceIsNotUnresponsive checks that the time-out grows with the mean response time,
+// so that a service whose responses all take long is not ejected.
+func TestSlowServiceIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9)
-		first := taken(t, d, "first")
+		first := mustAcquire(t, d, "first")
 		time.Sleep(5 * time.Second)
 		first.RecordHeaders()
 		first.Release(Served)
-		taken(t, d, "second")
+		mustAcquire(t, d, "second")
 		time.Sleep(10 * time.Second)
 		is.Equal(len(d.LocalLoad().Ejected), 0)
 	})
 }
 
-// TestOthersWordCounts leaves a server out that failed another entry, until it was
-// heard here; one failure here is enough from then on.
-func TestOthersWordCounts(t *testing.T) {
+// TestPeerEjections checks that a server ejected by another entry is not used until it sends
+// data to a call of this entry, and that a single failure here ejects it from then on.
+func TestPeerEjections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9)
-		var told []int
-		d.OnPeerEject = func(_ runworks.Instance, entries int) { told = append(told, entries) }
-		before := taken(t, d, "before")
+		var counts []int
+		d.OnPeerEject = func(_ runworks.Instance, entries int) { counts = append(counts, entries) }
+		before := mustAcquire(t, d, "before")
 		other := map[string]string{"s0": "s1", "s1": "s0"}[before.Instance.ID]
-		d.SetPeerLoad("busy", runningLoad(runworks.RunningCalls{other: 5})) // so that it is the worse
+		// The other server has to score worse.
+		d.SetPeerLoad("busy", runningLoad(runworks.RunningCalls{other: 5}))
 		time.Sleep(time.Millisecond)
 		d.SetPeerLoad("other", runworks.EntryLoad{Ejected: []string{before.Instance.ID}})
 		for i := range 3 {
-			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != before.Instance.ID)
+			is.True(mustAcquire(t, d, fmt.Sprint(i)).Instance.ID != before.Instance.ID)
 		}
-		is.Equal(len(d.LocalLoad().Ejected), 0) // hearsay is not passed on
+		is.Equal(len(d.LocalLoad().Ejected), 0) // ejections of other entries are not forwarded
 		time.Sleep(time.Millisecond)
 		before.RecordFirstEvent(0)
-		is.Equal(taken(t, d, "after").Instance.ID, before.Instance.ID)
+		is.Equal(mustAcquire(t, d, "after").Instance.ID, before.Instance.ID)
 		d.SetPeerLoad("other", runworks.EntryLoad{})
-		is.Equal(told, []int{1, 0})
+		is.Equal(counts, []int{1, 0})
 		before.Release(Interrupted)
 		is.Equal(d.LocalLoad().Ejected, []string{before.Instance.ID})
 	})
 }
 
-// TestMovedStaysOut does not use a server again at whose address another was met,
-// though the list still names it.
-func TestMovedStaysOut(t *testing.T) {
+// TestReusedAddressStaysEjected checks that a server is not used again once another server
+// responded at its address, even though it is still listed.
+func TestReusedAddressStaysEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9)
-		moved := taken(t, d, "moved")
+		moved := mustAcquire(t, d, "moved")
 		moved.Release(AddressReused)
 		d.SetServers(instances(9, 9))
 		for i := range 5 {
-			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != moved.Instance.ID)
+			is.True(mustAcquire(t, d, fmt.Sprint(i)).Instance.ID != moved.Instance.ID)
 		}
 		is.Equal(d.LocalLoad().Ejected, []string{moved.Instance.ID})
-		// Nor when no other is healthy.
+		// It is not used either if no other server is healthy.
 		time.Sleep(time.Millisecond)
 		d.SetPeerLoad("other", runworks.EntryLoad{Ejected: []string{"s0", "s1"}})
-		is.True(taken(t, d, "last").Instance.ID != moved.Instance.ID)
+		is.True(mustAcquire(t, d, "last").Instance.ID != moved.Instance.ID)
 	})
 }
 
-// TestFailingServerIsLeftOut leaves a server out for a while that answers by failures,
-// by what all entries together saw, while the others of its service do not.
-func TestFailingServerIsLeftOut(t *testing.T) {
+// TestFailingServerIsEjected checks that a server that answers with errors, counted over all
+// entries, is ejected for a while if the other servers of its service do not.
+func TestFailingServerIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDispatcher(9, 9, 9)
-		bad := taken(t, d, "bad")
+		bad := mustAcquire(t, d, "bad")
 		id := bad.Instance.ID
 		d.SetPeerLoad("other", runworks.EntryLoad{ConsecutiveFailures: map[string]int{id: minErrors - 1}})
 		bad.Release(Failed)
 		is.Equal(d.LocalLoad().Ejected, []string{id})
-		is.Equal(len(d.LocalLoad().ConsecutiveFailures), 0) // the count starts anew
+		is.Equal(len(d.LocalLoad().ConsecutiveFailures), 0) // the count is reset
 		for i := range 6 {
-			is.True(taken(t, d, fmt.Sprint(i)).Instance.ID != id)
+			is.True(mustAcquire(t, d, fmt.Sprint(i)).Instance.ID != id)
 		}
 		time.Sleep(errorEjection)
 		is.Equal(len(d.LocalLoad().Ejected), 0)
 	})
 }
 
-// TestFailuresEverywhere leaves nobody out where all servers of a service fail alike.
+// TestFailuresEverywhere checks that no server is ejected if all servers of a service fail
+// equally.
 func TestFailuresEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -137,7 +143,7 @@
 		for i := range 30 {
 			var held []*Lease
 			for k := range 3 {
-				held = append(held, taken(t, d, fmt.Sprint(i, k)))
+				held = append(held, mustAcquire(t, d, fmt.Sprint(i, k)))
 			}
 			for _, one := range held {
 				one.Release(Failed)
--- a/services/dispatch/limit.go
+++ b/services/dispatch/limit.go
@@ -9,78 +9,81 @@
 	"github.com/runworks/runworks/services/serverlimit"
 )
 
-// applyLimitLocked takes what a server says of the requests that it takes, in the answer to one
-// that was sent at that time.
+// applyLimitLocked applies the rate limit that a server reported in the response to a request
+// sent at that time.
 func (d *Dispatcher) applyLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, sent time.Time) {
-	var news bool
+	var changed bool
 	if limit.Named {
-		news = s.limit.Set(now, now, limit.PerSecond)
+		changed = s.limit.Set(now, now, limit.PerSecond)
 	} else {
-		news = s.limit.Clear(now, now, sent)
+		changed = s.limit.Clear(now, now, sent)
 	}
-	if news {
+	if changed {
 		d.limitChangedLocked(now, s, "")
 		d.sendLimitLocked(now, s)
 	}
 }
 
-// applyPeerLimitLocked takes what another entry told of the requests that a server takes, as it
-// said at a time.
+// applyPeerLimitLocked applies a rate limit that a server reported to another entry at the given
+// time.
 func (d *Dispatcher) applyPeerLimitLocked(now time.Time, s *server, limit *runworks.RateLimit, at time.Time, from string) {
-	var news bool
+	var changed bool
 	if limit.Named {
-		news = s.limit.Set(now, at, limit.PerSecond)
+		changed = s.limit.Set(now, at, limit.PerSecond)
 	} else {
-		news = s.limit.Clear(now, at, at)
-		if word, _ := s.limit.Reported(); word.Named {
-			d.sendLimitLocked(now, s) // the server named it again since
+		changed = s.limit.Clear(now, at, at)
+		if latest, _ := s.limit.Reported(); latest.Named {
+			d.sendLimitLocked(now, s) // the server has reported the limit again since
 		}
 	}
-	if news {
+	if changed {
 		d.limitChangedLocked(now, s, from)
 	}
 }
 
-// sendLimitLocked tells the others the server's newest word of the requests that it takes.
+// sendLimitLocked sends the rate limit that a server reported last to the other entries.
 func (d *Dispatcher) sendLimitLocked(now time.Time, s *server) {
 	d.sendNotice(s.limitNotice(now))
 }
 
-// limitNotice gives the server's newest word of the requests that it takes, for the others.
+// limitNotice returns the rate limit that the server reported last as a notice.
 func (s *server) limitNotice(now time.Time) runworks.ServerNotice {
-	word, at := s.limit.Reported()
-	return runworks.ServerNotice{Server: s.incarnation, Limit: &word, LimitAgeMs: now.Sub(at).Milliseconds()}
+	limit, at := s.limit.Reported()
+	return runworks.ServerNotice{Server: s.incarnation, Limit: &limit, LimitAgeMs: now.Sub(at).Milliseconds()}
 }
 
-// limitChangedLocked gives this entry its part of a limit that changed; from names the entry
-// that told of it, empty for the server itself.
+// limitChangedLocked computes this entry's share of a changed limit. from is the entry that sent
+// the notice, or empty if the server itself reported the limit.
 func (d *Dispatcher) limitChangedLocked(now time.Time, s *server, from string) {
 	d.shareLimitLocked(now, s)
-	// One that ends holds for a moment longer: its end is told then.
-	if word, _ := s.limit.Reported(); word.Named && d.OnRateLimit != nil {
-		d.OnRateLimit(s.Instance, LimitChange{Limit: word, From: from, Share: s.limit.Share(), Entries: len(d.others()) + 1})
+	// A limit that ends is still enforced for a moment; expireLimitsLocked reports its end.
+	if limit, _ := s.limit.Reported(); limit.Named && d.OnRateLimit != nil {
+		d.OnRateLimit(s.Instance, LimitChange{
+			Limit: limit, From: from, Share: s.limit.Share(), Entries: len(d.others()) + 1,
+		})
 	}
 }
 
-// LimitChange tells what changed of a server's limit.
+// LimitChange is a change of a server's rate limit. The zero value means that the limit ended.
 type LimitChange struct {
-	// Limit is the server's newest word.
+	// Limit is the limit that the server reported last.
 	Limit runworks.RateLimit
-	// From names the entry that told it; empty if the server did.
+	// From is the entry that sent the notice; empty if the server itself reported the limit.
 	From string
-	// Share is this entry's part of the limit, and Entries among how many it is shared.
-	Share   serverlimit.Share
+	// Share is this entry's share of the limit.
+	Share serverlimit.Share
+	// Entries is the number of entries among which the limit is divided.
 	Entries int
 }
 
-// others gives the other entries that may send: those that are heard, and those that fell
-// silent and do not count as gone yet.
+// others returns the other entries that may be sending requests: those that are connected, and
+// those that timed out less than runworks.EntryTimeout ago.
 func (d *Dispatcher) others() []runworks.Incarnation {
 	return slices.AppendSeq(slices.Collect(maps.Keys(d.peers)), maps.Keys(d.unreachable))
 }
 
-// shareLimitLocked gives this entry its part of a server's limit: which entries have one is
-// told by a hash of the server and the entries, which all have in common.
+// shareLimitLocked computes this entry's share of a server's limit. The entries agree on which
+// of them have a share by rendezvous hashing of the server and the entries.
 func (d *Dispatcher) shareLimitLocked(now time.Time, s *server) {
 	others := d.others()
 	own, ahead := rendezvousHash(s.incarnation, d.Self), 0
@@ -92,7 +95,7 @@
 	s.limit.SetShare(now, serverlimit.ShareOf(s.limit.PerSecond(), ahead, len(others)+1))
 }
 
-// shareLimitsLocked gives this entry its parts anew, as the entries changed.
+// shareLimitsLocked computes this entry's shares of all limits after the set of entries changed.
 func (d *Dispatcher) shareLimitsLocked(now time.Time) {
 	for _, s := range d.servers {
 		if s.limit.Active(now) {
@@ -101,8 +104,8 @@
 	}
 }
 
-// expireLimitsLocked ends limits that servers name no more, and the parts of entries that are
-// gone.
+// expireLimitsLocked removes limits that have ended, and entries that timed out more than
+// runworks.EntryTimeout ago, whose shares are redistributed.
 func (d *Dispatcher) expireLimitsLocked(now time.Time) {
 	for _, s := range d.servers {
 		if s.limit.Expired(now) {
@@ -112,14 +115,14 @@
 			}
 		}
 	}
-	gone := false
+	removed := false
 	for id, since := range d.unreachable {
 		if now.Sub(since) > runworks.EntryTimeout {
 			delete(d.unreachable, id)
-			gone = true
+			removed = true
 		}
 	}
-	if gone {
+	if removed {
 		d.shareLimitsLocked(now)
 	}
 }
--- a/services/dispatch/limit_sim_test.go
+++ b/services/dispatch/limit_sim_test.go
@@ -48,7 +48,7 @@
 	// full lets servers reject calls that find no slot; sharesBackoff lets an entry pass a
 	// server's back-off on to the others.
 	full, sharesBackoff bool
-	pressRests
+	pressBackoffs
 }
 
 // simEntry is an entry with its connectivity.
@@ -198,9 +198,9 @@
 	now := time.Now()
 	req := &Request{ID: runworks.RequestID(id), Service: "llm", Target: now.Add(simTarget), Deadline: now.Add(simDeadline)}
 	lease, err := e.Acquire(p.ctx, req)
-	for err == nil && p.turnedAway(e, lease) {
+	for err == nil && p.rejects(e, lease) {
 		req.Exclude = append(req.Exclude, lease.Instance.ID)
-		if len(req.Exclude) == pressSends {
+		if len(req.Exclude) == maxPressSends {
 			err = runworks.ErrRejected
 			break
 		}
@@ -233,7 +233,7 @@
 		}
 	}
 	p.served++
-	p.left(server)
+	p.releaseSlot(server)
 	p.mu.Unlock()
 	lease.ApplyReport(&runworks.ServerReport{Limit: &runworks.RateLimit{Named: named, PerSecond: limit}}, sent)
 	lease.Release(Served)
@@ -302,7 +302,7 @@
 func newLimitSim(ctx context.Context) *limitSim {
 	return &limitSim{
 		ctx: ctx, rng: rand.New(rand.NewPCG(1, 2)), limits: map[string]float64{}, limitSeen: map[string]time.Time{},
-		counted: map[string][]time.Time{}, firstSeen: map[string]time.Time{}, pressRests: newPressRests(),
+		counted: map[string][]time.Time{}, firstSeen: map[string]time.Time{}, pressBackoffs: newPressBackoffs(),
 	}
 }
 
@@ -336,7 +336,7 @@
 // step runs a line of a script.
 func (p *limitSim) step(t *testing.T, d *datadriven.TestData) string {
 	a := parseSimArgs(t, d)
-	if out, ok := p.stepRests(t, d.Cmd, &a); ok {
+	if out, ok := p.stepBackoff(t, d.Cmd, &a); ok {
 		return out
 	}
 	switch d.Cmd {
--- a/services/dispatch/notices.go
+++ b/services/dispatch/notices.go
@@ -6,7 +6,7 @@
 	"github.com/runworks/runworks"
 )
 
-// ApplyNotices takes what another entry tells of the servers.
+// ApplyNotices applies server notices that another entry sent.
 func (d *Dispatcher) ApplyNotices(from string, list []runworks.ServerNotice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -27,25 +27,27 @@
 	}
 }
 
-// earlyNotice is what another entry told of a server at a time. Of a server whose record is not
-// known yet it is kept until it is: an entry that starts is greeted before it has read any.
+// earlyNotice is a notice with its sender and time of receipt. A notice of a server whose record
+// is not known yet is kept until it is: the handshakes of an entry that starts come before it
+// has read any records.
 type earlyNotice struct {
 	runworks.ServerNotice
 	from       string
 	receivedAt time.Time
 }
 
-// expired says whether the word need not be kept any more.
+// expired reports whether the notice no longer needs to be kept.
 func (e *earlyNotice) expired(now time.Time) bool {
 	age := now.Sub(e.receivedAt)
 	return age > expiredRetention || age > runworks.EntryTimeout && !e.Draining
 }
 
-// maxEarlyNotices bounds the words that are kept for servers that are not known: all servers of the
-// largest fleet. An entry that has no more room learns them from its own answers.
+// maxEarlyNotices bounds the notices that are kept for unknown servers. It is the number of
+// servers of the largest system. An entry that has to drop notices gets the same information
+// from the responses to its own calls.
 const maxEarlyNotices = 4096
 
-// applyNoticeLocked takes what another entry told of a server.
+// applyNoticeLocked applies a notice to its server.
 func (d *Dispatcher) applyNoticeLocked(now time.Time, s *server, e *earlyNotice) {
 	if e.Draining {
 		d.applyDrainingLocked(s, e.from)
@@ -56,27 +58,28 @@
 	}
 }
 
-// applyEarlyLocked takes what was told of servers that are known now, and forgets what was told
-// of those that did not come.
+// applyEarlyLocked applies the kept notices of servers that are known now, and removes those of
+// servers that did not appear.
 func (d *Dispatcher) applyEarlyLocked(now time.Time) {
-	for life, e := range d.pendingNotices {
-		if s := d.servers[life]; s != nil {
+	for incarnation, e := range d.pendingNotices {
+		if s := d.servers[incarnation]; s != nil {
 			d.applyNoticeLocked(now, s, &e)
-			delete(d.pendingNotices, life)
+			delete(d.pendingNotices, incarnation)
 		} else if e.expired(now) {
-			delete(d.pendingNotices, life)
+			delete(d.pendingNotices, incarnation)
 		}
 	}
 }
 
-// sendNotice has the others told of a server's words.
+// sendNotice sends a notice to the other entries.
 func (d *Dispatcher) sendNotice(notice runworks.ServerNotice) {
 	if d.SendServerNotice != nil {
 		d.SendServerNotice(notice)
 	}
 }
 
-// ServerNotices gives what servers say of themselves to all, for another entry, which may know nothing.
+// ServerNotices returns the draining state and the limits of all servers, for an entry that
+// may know none of them.
 func (d *Dispatcher) ServerNotices() []runworks.ServerNotice {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,7 +87,7 @@
 	var out []runworks.ServerNotice
 	for _, s := range d.servers {
 		one := runworks.ServerNotice{Server: s.incarnation}
-		if word, _ := s.limit.Reported(); word.Named {
+		if limit, _ := s.limit.Reported(); limit.Named {
 			one = s.limitNotice(now)
 		}
 		one.Draining = s.draining
@@ -92,9 +95,9 @@
 			out = append(out, one)
 		}
 	}
-	for life, one := range d.expiredReports {
+	for incarnation, one := range d.expiredReports {
 		if one.draining {
-			out = append(out, runworks.ServerNotice{Server: life, Draining: true})
+			out = append(out, runworks.ServerNotice{Server: incarnation, Draining: true})
 		}
 	}
 	return out
--- a/services/dispatch/permits.go
+++ b/services/dispatch/permits.go
@@ -11,67 +11,67 @@
 )
 
 const (
-	// permitRequestTries is how many entries are asked one after the other for what they have at
-	// hand of the servers' limits, and firstBorrowPause the time until the next are, if none
-	// gave anything. It doubles up to lastBorrowPause: while calls press on limits, nobody has
-	// any at hand, and a hundred entries ask four hundred times a second in all.
+	// permitRequestTries is how many entries are asked for permits, one after the other, before
+	// a pause. The pause starts at minPermitPause and doubles up to maxPermitPause as long as no
+	// entry transfers any: under load no entry has permits to spare, and the pauses bound the
+	// requests of a hundred entries to four hundred a second in all.
 	permitRequestTries = 4
 	minPermitPause     = 50 * time.Millisecond
 	maxPermitPause     = time.Second
 )
 
-// PermitTransfer is what an entry asks another for: requests to a server that the other has at hand of
-// its part of the server's limit, and no use for now. Without it calls that come to an entry
-// with no part are refused while others have some.
+// PermitTransfer is a request to another entry for permits of a server's rate limit that it does
+// not need. Without transfers, calls that arrive at an entry without a share of the limit would
+// be rejected while other entries have permits left.
 type PermitTransfer struct {
-	// Server is Instance.Life.
+	// Server is the server's Instance.IncarnationID.
 	Server string
 	// Donor is the entry that is asked.
 	Donor runworks.Incarnation
-	// Permits is how many are asked for.
+	// Permits is the number of permits requested.
 	Permits int
 
 	service string
 }
 
-// permitRequests is how a service's calls are served with what other entries have at hand.
+// permitRequests is the state of a service's requests for permits of other entries.
 type permitRequests struct {
-	// enabled says that there is a way to ask.
+	// enabled reports whether Dispatcher.RequestPermits is set.
 	enabled bool
-	// pending says that a question is under way.
+	// pending is set while a request is unanswered.
 	pending bool
-	// failed is how many gave nothing since the last that did or since the last pause, and
-	// pause the last pause; 0 if something was given since.
+	// failed counts the requests without success since the last success or pause.
 	failed int
-	pause  time.Duration
-	// retryAt is when to ask retryAt.
+	// pause is the length of the last pause; 0 after a success.
+	pause time.Duration
+	// retryAt is the end of the pause.
 	retryAt time.Time
 }
 
-// allowed says whether another entry may be asked, or is.
-func (b *permitRequests) allowed(now time.Time) bool {
-	return b.enabled && (b.pause == 0 || !now.Before(b.retryAt))
+// allowed reports whether another entry may be asked now.
+func (p *permitRequests) allowed(now time.Time) bool {
+	return p.enabled && (p.pause == 0 || !now.Before(p.retryAt))
 }
 
-// likely says whether a call that has so many ahead may hope for a loan: the last one was
-// given, or it is the first to ask again.
-func (b *permitRequests) likely(now time.Time, ahead int) bool {
-	return b.allowed(now) && (b.pause == 0 || ahead == 0)
+// likely reports whether a call with the given number of calls ahead of it can expect a permit
+// from another entry: the last request succeeded, or the call is the first to ask after a pause.
+func (p *permitRequests) likely(now time.Time, ahead int) bool {
+	return p.allowed(now) && (p.pause == 0 || ahead == 0)
 }
 
-// fail notes that an entry gave nothing; after some there is a pause.
-func (b *permitRequests) fail(now time.Time) {
-	b.failed++
-	if b.failed < permitRequestTries {
+// fail records a request without success and starts a pause after permitRequestTries of them.
+func (p *permitRequests) fail(now time.Time) {
+	p.failed++
+	if p.failed < permitRequestTries {
 		return
 	}
-	b.failed = 0
-	b.pause = min(max(2*b.pause, minPermitPause), maxPermitPause)
-	b.retryAt = now.Add(b.pause)
+	p.failed = 0
+	p.pause = min(max(2*p.pause, minPermitPause), maxPermitPause)
+	p.retryAt = now.Add(p.pause)
 }
 
-// TransferPermits gives away what this entry has at hand of a server's limit, unless its own calls wait
-// for it; it says how many requests.
+// TransferPermits takes up to n permits from this entry's share of a server's rate limit, for
+// another entry, and returns how many it took. It takes none while calls of this entry wait.
 func (d *Dispatcher) TransferPermits(server string, n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,45 +79,46 @@
 	if s == nil || s.Draining {
 		return 0
 	}
-	if of := d.services[s.Service]; of != nil && of.queue.Len() > 0 {
+	if svc := d.services[s.Service]; svc != nil && svc.queue.Len() > 0 {
 		return 0
 	}
 	return s.limit.Donate(time.Now(), n)
 }
 
-// FinishTransfer takes the answer to a question for a loan: so many requests may be sent now.
+// FinishTransfer applies the answer to a permit request: n permits may be used now, and those
+// that no waiting call can use are discarded.
 func (d *Dispatcher) FinishTransfer(transfer *PermitTransfer, n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	of := d.services[transfer.service]
-	if of == nil {
+	svc := d.services[transfer.service]
+	if svc == nil {
 		return
 	}
-	b := &of.permitRequests
-	b.pending = false
+	p := &svc.permitRequests
+	p.pending = false
 	s := d.servers[transfer.Server]
 	if n <= 0 || s == nil {
 		now := time.Now()
-		b.fail(now)
-		d.requestPermitsLocked(now, of)
+		p.fail(now)
+		d.requestPermitsLocked(now, svc)
 		return
 	}
-	b.failed, b.pause = 0, 0
+	p.failed, p.pause = 0, 0
 	s.limit.AddTransferred(n)
-	d.pumpLocked(of)
+	d.pumpLocked(svc)
 	s.limit.DropTransferred()
 }
 
-// requestPermitsLocked asks another entry for requests at hand, if calls of a service wait that a
-// limit alone keeps from a server.
-func (d *Dispatcher) requestPermitsLocked(now time.Time, of *service) {
-	b := &of.permitRequests
-	if b.pending || !b.allowed(now) || of.queue.Len() == 0 {
+// requestPermitsLocked asks another entry for permits if calls of a service wait and a server
+// with a free slot is withheld from them only by its rate limit.
+func (d *Dispatcher) requestPermitsLocked(now time.Time, svc *service) {
+	p := &svc.permitRequests
+	if p.pending || !p.allowed(now) || svc.queue.Len() == 0 {
 		return
 	}
 	var wanted []*server
-	for _, one := range of.servers {
-		if one.limit.Active(now) && !one.limit.Admits(now) && of.healthy(now, one) && one.hasSlot(now, of) {
+	for _, one := range svc.servers {
+		if one.limit.Active(now) && !one.limit.Admits(now) && svc.healthy(now, one) && one.hasSlot(now, svc) {
 			wanted = append(wanted, one)
 		}
 	}
@@ -125,17 +126,19 @@
 		return
 	}
 	s := wanted[rand.IntN(len(wanted))]
-	lender := d.donor(s)
-	if lender == "" {
-		b.fail(now)
+	donor := d.donor(s)
+	if donor == "" {
+		p.fail(now)
 		return
 	}
-	b.pending = true
-	d.RequestPermits(&PermitTransfer{Server: s.incarnation, Donor: lender, Permits: min(of.queue.Len(), s.Slots), service: of.name})
+	p.pending = true
+	d.RequestPermits(&PermitTransfer{
+		Server: s.incarnation, Donor: donor, Permits: min(svc.queue.Len(), s.Slots), service: svc.name,
+	})
 }
 
-// donor gives another entry that has a part of a server's limit and was heard just now; none
-// if there is none.
+// donor returns a random reachable entry that has a share of a server's rate limit, or "" if
+// there is none.
 func (d *Dispatcher) donor(s *server) runworks.Incarnation {
 	all := append(d.others(), d.Self)
 	slices.SortFunc(all, func(a, b runworks.Incarnation) int {
--- a/services/dispatch/report.go
+++ b/services/dispatch/report.go
@@ -7,62 +7,65 @@
 	"github.com/runworks/runworks/services/serverlimit"
 )
 
-// reportState are what the life of a server said of itself: in its answers, and in its record that it
-// leaves. They stand beside its newest record, and neither takes the other's place.
+// reportState is what an incarnation of a server reported: its rate limit, back-off and load in
+// responses, and draining in responses or in its record. It is kept next to the newest record,
+// and neither overrides the other.
 type reportState struct {
-	// limit is how many requests it takes, if it says so.
+	// limit is the rate limit, if the server reported one.
 	limit serverlimit.Limit
-	// draining says that it will end. That is final: a record that says otherwise is older.
+	// draining is set once the server announced that it drains. It is never reset: a record
+	// without it is older.
 	draining bool
-	// backoff is when it wants nothing from this entry.
+	// backoff is the back-off that the server requested of this entry.
 	backoff backoff
-	// reportedLoad is what it had to do, by its newest answer; nil is not told.
+	// reportedLoad is the load in the newest response; nil if none was reported.
 	reportedLoad *runworks.ServerLoad
 }
 
-// ApplyReport takes what the call's server says of itself, in the answer to a request that was sent
-// at that time.
-func (l *Lease) ApplyReport(word *runworks.ServerReport, sent time.Time) {
+// ApplyReport applies the report of the call's server in the response to a request sent at that
+// time.
+func (l *Lease) ApplyReport(report *runworks.ServerReport, sent time.Time) {
 	d := l.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	s := l.server
 	if back := d.servers[s.incarnation]; back != nil {
-		s = back // its record may have lapsed meanwhile
+		s = back // its record may have expired and returned in the meantime
 	}
 	if s.restarted {
-		return // a life that is over
+		return // reports of an earlier incarnation are obsolete
 	}
-	if word.Draining && d.applyDrainingLocked(s, "") {
+	if report.Draining && d.applyDrainingLocked(s, "") {
 		d.sendNotice(runworks.ServerNotice{Server: s.incarnation, Draining: true})
 	}
-	if word.Backoff > 0 {
-		d.applyBackoffLocked(now, s, word.Backoff)
+	if report.Backoff > 0 {
+		d.applyBackoffLocked(now, s, report.Backoff)
 	}
-	if word.Limit != nil {
-		d.applyLimitLocked(now, s, word.Limit, sent)
+	if report.Limit != nil {
+		d.applyLimitLocked(now, s, report.Limit, sent)
 	}
-	if word.Load != nil {
-		s.reportedLoad = word.Load
+	if report.Load != nil {
+		s.reportedLoad = report.Load
 	}
 	if d.servers[s.incarnation] == nil {
 		d.keepExpired(now, s)
 	}
 }
 
-// Unavailable says whether the call's server takes nothing more by now: a call that got its slot
-// before may still wait for a connection.
+// Unavailable reports whether the call's server accepts no more calls. It can change while a
+// call that has a lease waits for a connection.
 func (l *Lease) Unavailable() bool {
 	l.dispatcher.mu.Lock()
 	defer l.dispatcher.mu.Unlock()
 	return l.server.Draining || l.server.backoff.active(time.Now())
 }
 
-// applyDrainingLocked takes a server's word that it will end, and says whether that is news; from
-// names the entry that told of it, empty for the server itself. What the server runs goes on,
-// and it gets nothing new, whatever its record says: that may come late by all the time that
-// the store is away, and calls that were sent meanwhile would end with the server.
+// applyDrainingLocked marks a server as draining and reports whether that is new. from is the
+// entry that sent the notice, or empty if the server itself reported it. The calls that the
+// server runs go on, and it gets no new ones, whatever its record says: while the store is
+// unavailable the record is out of date, and calls sent in that time would be lost when the
+// server exits.
 func (d *Dispatcher) applyDrainingLocked(s *server, from string) bool {
 	if s.draining {
 		return false
@@ -74,10 +77,10 @@
 	return true
 }
 
-// applyBackoffLocked takes a server's word that it wants nothing from this entry for a time. The
-// others are not told: they may be welcome there.
-func (d *Dispatcher) applyBackoffLocked(now time.Time, s *server, lasts time.Duration) {
-	if s.backoff.extend(now, lasts) && d.OnBackoff != nil {
+// applyBackoffLocked applies a back-off that a server requested. It is not sent to the other
+// entries: the server may accept their calls.
+func (d *Dispatcher) applyBackoffLocked(now time.Time, s *server, duration time.Duration) {
+	if s.backoff.extend(now, duration) && d.OnBackoff != nil {
 		d.OnBackoff(s.Instance, s.backoff.until.Sub(now))
 	}
 }
--- a/services/dispatch/report_expired.go
+++ b/services/dispatch/report_expired.go
@@ -7,19 +7,19 @@
 	"github.com/runworks/runworks"
 )
 
-// expiredReport are the words of a server whose record went at a time.
+// expiredReport is the reported state of a server whose record disappeared.
 type expiredReport struct {
 	reportState
-	went time.Time
+	missingSince time.Time
 }
 
-// expiredRetention is how long the words that hold for a server's life, or for a told time, outlast
-// its record: a server that leaves may run on for some tens of seconds.
+// expiredRetention is how long draining and active back-offs are kept after a server's record
+// disappeared: a draining server may run on for some tens of seconds.
 const expiredRetention = time.Minute
 
-// keepExpired keeps the words of a server whose record went: that may have lapsed while the
-// store was away, and the server, which goes on, may come back with it. Without its words all
-// entries would fill its slots until it says them anew.
+// keepExpired keeps the reported state of a server whose record disappeared. The record may have
+// expired while the store was unavailable, and return with the server still running. Without
+// the state all entries would fill the server's slots until it reports again.
 func (d *Dispatcher) keepExpired(now time.Time, s *server) {
 	if !s.limit.Active(now) && !s.draining && !s.backoff.active(now) {
 		return
@@ -27,20 +27,20 @@
 	if d.expiredReports == nil {
 		d.expiredReports = make(map[string]expiredReport)
 	}
-	d.expiredReports[s.incarnation] = expiredReport{reportState: s.reportState, went: now}
+	d.expiredReports[s.incarnation] = expiredReport{reportState: s.reportState, missingSince: now}
 }
 
-// takeExpired gives the words back that a server had said when its record went.
-func (d *Dispatcher) takeExpired(life string) reportState {
-	w := d.expiredReports[life].reportState
-	delete(d.expiredReports, life)
-	return w
+// takeExpired removes and returns the kept state of an incarnation.
+func (d *Dispatcher) takeExpired(incarnation string) reportState {
+	r := d.expiredReports[incarnation].reportState
+	delete(d.expiredReports, incarnation)
+	return r
 }
 
-// pruneExpiredLocked forgets the words of servers that did not come back.
+// pruneExpiredLocked removes the state of servers whose records did not return.
 func (d *Dispatcher) pruneExpiredLocked(now time.Time) {
 	maps.DeleteFunc(d.expiredReports, func(_ string, one expiredReport) bool {
-		gone := now.Sub(one.went)
-		return gone > expiredRetention || gone > runworks.EntryTimeout && !one.draining && !one.backoff.active(now)
+		age := now.Sub(one.missingSince)
+		return age > expiredRetention || age > runworks.EntryTimeout && !one.draining && !one.backoff.active(now)
 	})
 }
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -135,7 +135,7 @@
 		is := is.New(t)
 		d := newDispatcher(6)
 		for i := range minServed {
-			lease := taken(t, d, fmt.Sprint("short", i))
+			lease := mustAcquire(t, d, fmt.Sprint("short", i))
 			time.Sleep(25 * time.Millisecond)
 			lease.Release(Served)
 		}
--- a/services/dispatch/server.go
+++ b/services/dispatch/server.go
@@ -7,80 +7,79 @@
 )
 
 const (
-	// failuresToEject is how many calls in a row must fail without an answer
-	// before a backend server is left out: one may be chance.
+	// failuresToEject is the number of calls in a row without a complete response after which a
+	// server is ejected: a single one may be chance.
 	failuresToEject = 2
-	// minEjection doubles with each further failure up to lastSuspension, so
-	// that a server that is back is used again within a few seconds.
+	// The ejection time starts at minEjection and doubles with each further failure up to
+	// maxEjection, so that a server that has recovered is used again within a few seconds.
 	minEjection = 250 * time.Millisecond
 	maxEjection = 4 * time.Second
-	// fullPause is how long a server that turned a call away as full is left out:
-	// about the time in which one of its slots becomes free.
+	// fullPause is how long a server that rejected a call is taken to be full: about the time in
+	// which one of its slots becomes free.
 	fullPause = 30 * time.Millisecond
-	// freeSoon, or freeSoonPerPeer for each other entry if that is more, is within which
-	// time a slot has to become free to count as free now: about the age of what is known
-	// of the other entries' calls, which is the time between heartbeats (package peers). It
-	// matters where calls are as short as that.
+	// A slot that becomes free within freeSoon, or freeSoonPerPeer for each other entry if that is
+	// longer, counts as free now. This is about the age of the known load of the other entries,
+	// which is the heartbeat interval (package peers). It matters where calls are that short.
 	freeSoon        = 50 * time.Millisecond
 	freeSoonPerPeer = 2 * time.Millisecond
-	// gapWeight is the weight of the newest call in the average pace.
+	// gapWeight is the weight of the newest event in server.meanGap.
 	gapWeight = 0.2
 )
 
-// server is a backend server as this entry knows it.
+// server is the state of one incarnation of a backend server at this entry.
 type server struct {
 	runworks.Instance
-	// incarnation is Instance.Life.
+	// incarnation is Instance.IncarnationID.
 	incarnation string
-	// leases are those that calls of this entry hold, and ended says that the server
-	// started again since.
-	leases    map[*Lease]struct{}
+	// leases are those that calls of this entry hold.
+	leases map[*Lease]struct{}
+	// restarted is set once the server has a newer incarnation.
 	restarted bool
-	// ownCalls is how many calls of this entry it has now.
+	// ownCalls is the number of running calls of this entry.
 	ownCalls int
-	// peerCalls is how many calls the other entries said they have there.
+	// peerCalls is the number of running calls that the other entries reported.
 	peerCalls int
-	// ownUnread is how many tokens of prompts of this entry's calls it still reads, and
-	// peerUnread the same of the other entries.
+	// ownUnread is the number of prompt tokens of this entry's calls that the server has not
+	// processed yet, and peerUnread that of the other entries' calls.
 	ownUnread, peerUnread int
-	// vacated is how many slots calls of this entry left of which the others do not
-	// know yet.
+	// vacated is the number of slots that calls of this entry released since the last heartbeat,
+	// so that the other entries still count them as taken.
 	vacated int
-	// lastLoad is the load at the last look, and since the time since which it stands.
+	// lastLoad is the load when it was last checked, and loadSince since when it is unchanged.
 	lastLoad  int
 	loadSince time.Time
-	// unanswered is how many calls in a row failed without an answer.
+	// unanswered is the number of calls in a row that ended without a complete response.
 	unanswered int
-	// ownErrors is how many calls in a row it answered by a failure, and peerErrors the
-	// same at the other entries, summed.
+	// ownErrors is the number of calls in a row that the server answered with an error, and
+	// peerErrors the sum of those numbers of the other entries.
 	ownErrors, peerErrors int
-	// ejectedUntil is until when it is left out, if others can do the work.
+	// ejectedUntil is when the ejection for failed calls ends.
 	ejectedUntil time.Time
-	// addressReused is set once another server was met at its address.
+	// addressReused is set once another server responded at the address.
 	addressReused bool
-	// lastReceived is when a call of this entry last got anything from it, and busySince since
-	// when it has had calls of this entry all the time.
+	// lastReceived is when a call of this entry last received data from the server, and
+	// busySince since when the server has had calls of this entry without interruption.
 	lastReceived, busySince time.Time
-	// wasUnresponsive is whether it was silent at the last look.
+	// wasUnresponsive is whether it was unresponsive when last checked.
 	wasUnresponsive bool
-	// peerEjections is how many other entries leave it out, and doubted since when some do;
-	// zero if none does.
+	// peerEjections is the number of other entries that eject the server, and peerEjectedSince
+	// since when enough of them do; zero if they do not.
 	peerEjections    int
 	peerEjectedSince time.Time
-	// fullUntil is until when it is taken to be fullUntil.
+	// fullUntil is until when the server is taken to be full.
 	fullUntil time.Time
-	// meanGap is the average time between events in seconds; 0 is not known.
+	// meanGap is the mean time between two events of a stream in seconds; 0 if unknown.
 	meanGap average
-	// steadyGap is the same over more events.
+	// steadyGap is the same with a smaller weight of the newest event.
 	steadyGap average
-	// lateGaps is the part of its events that come after a longer pause than callers allow.
+	// lateGaps is the fraction of events that arrive after a longer gap than callers allow.
 	lateGaps float64
 	reportState
 }
 
 func (s *server) load() int { return s.ownCalls + s.peerCalls }
 
-// addLease gives a slot to a call of this entry, which holds it by a lease.
+// addLease assigns a slot to a call of this entry.
 func (s *server) addLease(now time.Time, lease *Lease) {
 	if s.ownCalls == 0 {
 		s.busySince = now
@@ -95,14 +94,13 @@
 	s.leases[lease] = struct{}{}
 }
 
-// releaseSlot takes the slot of a call of this entry back.
+// releaseSlot releases the slot of a call of this entry.
 func (s *server) releaseSlot() {
 	s.ownCalls--
 	s.vacated++
 }
 
-// markRestarted tells the calls of this entry that the server started again and knows nothing of
-// them.
+// markRestarted notifies the calls of this entry that the server restarted and lost them.
 func (s *server) markRestarted() {
 	s.restarted = true
 	for lease := range s.leases {
@@ -110,17 +108,19 @@
 	}
 }
 
-// admits says whether the server has a free slot and its limit leaves admits for a request.
-func (s *server) admits(now time.Time, of *service) bool {
-	return s.hasSlot(now, of) && s.limit.Admits(now)
+// admits reports whether the server has a free slot and its rate limit admits a request.
+func (s *server) admits(now time.Time, svc *service) bool {
+	return s.hasSlot(now, svc) && s.limit.Admits(now)
 }
 
-// hasSlot says whether the server has a free slot for this entry, as far as is known.
-func (s *server) hasSlot(now time.Time, of *service) bool {
-	return !s.Draining && !s.addressReused && !now.Before(s.fullUntil) && s.backoff.admits(now) && s.load() < of.capacity(s)
+// hasSlot reports whether the server has a free slot for this entry, as far as is known.
+func (s *server) hasSlot(now time.Time, svc *service) bool {
+	return !s.Draining && !s.addressReused && !now.Before(s.fullUntil) && s.backoff.admits(now) &&
+		s.load() < svc.capacity(s)
 }
 
-// recordResult records how a call ended; it gives how long the server is left out for it.
+// recordResult records how a call ended. It returns the time for which the server is ejected
+// because of it, or 0.
 func (s *server) recordResult(now time.Time, r Result) time.Duration {
 	switch r {
 	case Served:
@@ -146,23 +146,23 @@
 	return 0
 }
 
-// Result says how a call at a backend server ended.
+// Result is how a call at a backend server ended.
 type Result int
 
 // The results of a call.
 const (
-	// Served means that the server gave a whole answer.
+	// Served means that the server sent a complete response.
 	Served Result = iota
-	// Rejected means that the server said that it did not run the call.
+	// Rejected means that the server reported that it did not run the call.
 	Rejected
-	// Unreachable means that no byte of the call left.
+	// Unreachable means that no byte of the request was sent.
 	Unreachable
-	// Interrupted means that the call was sent and no whole answer came.
+	// Interrupted means that the request was sent and no complete response arrived.
 	Interrupted
-	// AddressReused means that another backend server has the address.
+	// AddressReused means that another backend server responded at the address.
 	AddressReused
-	// Abandoned means that the caller left or the time was over.
+	// Abandoned means that the caller disconnected or the call's deadline passed.
 	Abandoned
-	// Failed means that the server answered that it failed.
+	// Failed means that the server answered with an error.
 	Failed
 )
--- a/services/dispatch/server_set.go
+++ b/services/dispatch/server_set.go
@@ -8,18 +8,19 @@
 	"github.com/runworks/runworks/services/reservation"
 )
 
-// ServerSetChange tells what a new list of backend servers changed.
+// ServerSetChange is the difference that a new list of backend servers makes.
 type ServerSetChange struct {
-	// Added are the servers that are new, and Withdrawn those that leave or are gone.
+	// Added are the new incarnations, and Withdrawn those that started draining or were removed
+	// without a restart.
 	Added, Withdrawn []runworks.Instance
-	// Restarted are the lives that are over, as their servers started again, and Exited those and
-	// the ones that are on the list no more and had not said that they leave.
+	// Restarted are the incarnations that ended because their servers restarted. Exited are those
+	// that restarted or were removed without having announced that they drain.
 	Restarted, Exited []runworks.Instance
 }
 
-// SetServers puts the list of backend servers in force. A server that is on it no
-// more is leaving: what it runs goes on, and it gets nothing new. Of one that started
-// again nothing is known, and the calls that its last life had are told so.
+// SetServers replaces the list of backend servers. A server that is no longer listed finishes
+// the calls that it has and gets no new ones. One that restarted starts without any recorded
+// state, and the calls of its last incarnation are notified.
 func (d *Dispatcher) SetServers(list []runworks.Instance) ServerSetChange {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -29,12 +30,12 @@
 	d.servers = make(map[string]*server, len(list))
 	d.newest = make(map[string]*server, len(list))
 	for _, one := range list {
-		life := one.IncarnationID()
-		s := old[life]
+		id := one.IncarnationID()
+		s := old[id]
 		if s == nil {
-			s = &server{incarnation: life, reportState: d.takeExpired(life)}
+			s = &server{incarnation: id, reportState: d.takeExpired(id)}
 			if s.limit.Active(now) {
-				d.shareLimitLocked(now, s) // the entries may have changed meanwhile
+				d.shareLimitLocked(now, s) // the set of entries may have changed in the meantime
 			}
 			out.Added = append(out.Added, one)
 		} else if one.Unavailable() && !s.Draining {
@@ -43,11 +44,11 @@
 		s.draining = s.draining || one.Draining
 		s.Instance = one
 		s.Draining = one.Unavailable() || s.draining
-		d.servers[life] = s
+		d.servers[id] = s
 		d.newest[one.ID] = s
 	}
-	for life, s := range old {
-		if d.servers[life] != nil {
+	for id, s := range old {
+		if d.servers[id] != nil {
 			continue
 		}
 		if !s.Draining {
@@ -64,13 +65,13 @@
 	}
 	d.groupByServiceLocked()
 	d.applyEarlyLocked(now)
-	// What the others run counts before any call is placed.
+	// The load of the other entries has to be known before any call is placed.
 	d.sumPeersLocked()
 	return out
 }
 
-// findServer gives the server that another entry names: a life, or of entries of older versions
-// an id, which stands for the newest life.
+// findServer returns the server that another entry names: by incarnation ID or, as entries of
+// older versions do, by server ID, which is taken for its newest incarnation.
 func (d *Dispatcher) findServer(name string) *server {
 	if s := d.servers[name]; s != nil {
 		return s
@@ -78,7 +79,7 @@
 	return d.newest[name]
 }
 
-// groupByServiceLocked deals the servers out to their services again.
+// groupByServiceLocked assigns the servers to their services.
 func (d *Dispatcher) groupByServiceLocked() {
 	if d.services == nil {
 		d.services = make(map[string]*service)
@@ -103,30 +104,34 @@
 	}
 	return &service{
 		name: name, waiters: make(map[runworks.RequestID]*waiter),
-		queue: reservation.Queue{MaxWaiting: maxWaiting}, permitRequests: permitRequests{enabled: d.RequestPermits != nil},
+		queue:          reservation.Queue{MaxWaiting: maxWaiting},
+		permitRequests: permitRequests{enabled: d.RequestPermits != nil},
 	}
 }
 
-// LocalLoad gives what this entry runs and what waits here, for the others. They may take
-// the slots that calls left here from now on.
+// LocalLoad returns this entry's running and waiting calls, for the other entries. From now on
+// they may use the slots that calls of this entry released.
 func (d *Dispatcher) LocalLoad() runworks.EntryLoad {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := runworks.EntryLoad{Running: make(runworks.RunningCalls), Waiting: make(runworks.WaitingCalls), ConsecutiveFailures: map[string]int{}, UnreadPromptTokens: map[string]int{}}
+	out := runworks.EntryLoad{
+		Running: make(runworks.RunningCalls), Waiting: make(runworks.WaitingCalls),
+		ConsecutiveFailures: map[string]int{}, UnreadPromptTokens: map[string]int{},
+	}
 	now := time.Now()
-	for life, s := range d.servers {
+	for id, s := range d.servers {
 		s.vacated = 0
 		if s.failing(now, d.services[s.Service]) {
-			out.Ejected = append(out.Ejected, life)
+			out.Ejected = append(out.Ejected, id)
 		}
 		if s.ownCalls > 0 {
-			out.Running[life] = s.ownCalls
+			out.Running[id] = s.ownCalls
 		}
 		if s.ownUnread >= minUnreadReported {
-			out.UnreadPromptTokens[life] = s.ownUnread
+			out.UnreadPromptTokens[id] = s.ownUnread
 		}
 		if s.ownErrors > 0 {
-			out.ConsecutiveFailures[life] = s.ownErrors
+			out.ConsecutiveFailures[id] = s.ownErrors
 		}
 	}
 	slices.Sort(out.Ejected)
@@ -138,9 +143,9 @@
 	return out
 }
 
-// SetPeerLoad takes what another entry runs and what waits there, in place of what it told
-// before. Only what the two tell of is looked at: adding up all entries again would cost a
-// large fleet more with each heartbeat than anything else does.
+// SetPeerLoad replaces the load of another entry by a newer one. Only the servers that either
+// names are updated: adding up the loads of all entries with each heartbeat would be the largest
+// cost in a system of many entries.
 func (d *Dispatcher) SetPeerLoad(from runworks.Incarnation, load runworks.EntryLoad) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +161,8 @@
 	d.replacePeerLoadLocked(&old, &load)
 }
 
-// RemovePeer counts the calls of another entry as ended: it is gone.
+// RemovePeer removes an entry that is gone: its calls count as ended, and its shares of the
+// servers' rate limits are redistributed.
 func (d *Dispatcher) RemovePeer(from runworks.Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,8 +171,9 @@
 	d.shareLimitsLocked(time.Now())
 }
 
-// MarkPeerUnreachable counts the calls of another entry as ended that fell silent. It may still send, only
-// out of touch: it keeps its part of the servers' limits until it counts as gone.
+// MarkPeerUnreachable counts the calls of an entry that timed out as ended. The entry may still
+// be sending requests, so it keeps its shares of the servers' rate limits until
+// runworks.EntryTimeout has passed.
 func (d *Dispatcher) MarkPeerUnreachable(from runworks.Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,15 +184,15 @@
 	d.dropPeerLoadLocked(from)
 }
 
-// dropPeerLoadLocked counts what another entry had as over.
+// dropPeerLoadLocked removes the load of another entry.
 func (d *Dispatcher) dropPeerLoadLocked(from runworks.Incarnation) {
 	old := d.peers[from]
 	delete(d.peers, from)
 	d.replacePeerLoadLocked(&old, &runworks.EntryLoad{})
 }
 
-// replacePeerLoadLocked counts what an entry has now in place of what it had, and uses the slots
-// that this frees.
+// replacePeerLoadLocked replaces what one entry adds to the servers' sums, and places waiting
+// calls in the slots that this frees.
 func (d *Dispatcher) replacePeerLoadLocked(old, load *runworks.EntryLoad) {
 	d.addPeerLoadLocked(old, -1)
 	d.addPeerLoadLocked(load, 1)
@@ -204,8 +211,7 @@
 	}
 }
 
-// sumPeersLocked adds up what the other entries have at each server, and what they say
-// of it.
+// sumPeersLocked adds up the loads of all other entries for each server.
 func (d *Dispatcher) sumPeersLocked() {
 	now := time.Now()
 	for _, s := range d.servers {
@@ -225,54 +231,56 @@
 	}
 }
 
-// addPeerLoadLocked adds what one other entry has at each server, and says of it, as often as
-// times says: -1 takes it back.
-func (d *Dispatcher) addPeerLoadLocked(load *runworks.EntryLoad, times int) {
+// addPeerLoadLocked adds the load of one other entry, times factor, to the servers' sums; a
+// factor of -1 subtracts it.
+func (d *Dispatcher) addPeerLoadLocked(load *runworks.EntryLoad, factor int) {
 	for id, n := range load.Running {
 		if s := d.findServer(id); s != nil {
-			s.peerCalls += times * n
+			s.peerCalls += factor * n
 		}
 	}
 	for id, n := range load.UnreadPromptTokens {
 		if s := d.findServer(id); s != nil {
-			s.peerUnread += times * n
+			s.peerUnread += factor * n
 		}
 	}
 	for id, n := range load.ConsecutiveFailures {
 		if s := d.findServer(id); s != nil {
-			s.peerErrors += times * n
+			s.peerErrors += factor * n
 		}
 	}
 	for _, id := range load.Ejected {
 		if s := d.findServer(id); s != nil {
-			s.peerEjections += times
+			s.peerEjections += factor
 		}
 	}
 }
 
-// ServerStatus is the state of one backend server for operators.
+// ServerStatus is the state of one backend server, for operators.
 type ServerStatus struct {
-	ID           string    `json:"id"`
-	Generation   int64     `json:"born,omitempty"`
-	Service      string    `json:"service"`
-	Hall         string    `json:"hall"`
-	Slots        int       `json:"slots"`
+	ID         string `json:"id"`
+	Generation int64  `json:"born,omitempty"`
+	Service    string `json:"service"`
+	Hall       string `json:"hall"`
+	Slots      int    `json:"slots"`
+	// OwnCalls and PeerCalls are the calls that this entry and the others run at the server.
 	OwnCalls     int       `json:"own"`
 	PeerCalls    int       `json:"others"`
 	Draining     bool      `json:"leaving,omitempty"`
 	EjectedUntil time.Time `json:"suspended_until,omitzero"`
-	// Limit is what the server said last of the requests that it takes, and LimitPart this
-	// entry's part of it in requests a second.
+	// Limit is the last rate limit that the server reported, and LimitShare this entry's share
+	// of it in requests per second.
 	Limit      runworks.RateLimit `json:"limit,omitzero"`
 	LimitShare float64            `json:"limit_part,omitempty"`
-	// ReportedDraining is its own word that it leaves, RestsUntil until when it wants nothing from
-	// this entry, and Told what it had to do by its newest answer.
+	// ReportedDraining is set once the server itself reported that it drains, BackoffUntil is the
+	// end of the back-off that it requested of this entry, and ReportedLoad the load in its
+	// newest report.
 	ReportedDraining bool                 `json:"says_leaving,omitempty"`
 	BackoffUntil     time.Time            `json:"rests_until,omitzero"`
 	ReportedLoad     *runworks.ServerLoad `json:"told,omitempty"`
 }
 
-// ServerStatuses gives the state of all backend servers.
+// ServerStatuses returns the state of all backend servers, in no particular order.
 func (d *Dispatcher) ServerStatuses() []ServerStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -280,15 +288,16 @@
 	for _, s := range d.servers {
 		limit, _ := s.limit.Reported()
 		out = append(out, ServerStatus{
-			ID: s.ID, Generation: s.Generation, Service: s.Service, Hall: s.Hall, Slots: s.Slots, OwnCalls: s.ownCalls, PeerCalls: s.peerCalls,
-			Draining: s.Draining, EjectedUntil: s.ejectedUntil, Limit: limit, LimitShare: s.limit.Share().PerSecond,
+			ID: s.ID, Generation: s.Generation, Service: s.Service, Hall: s.Hall, Slots: s.Slots,
+			OwnCalls: s.ownCalls, PeerCalls: s.peerCalls, Draining: s.Draining, EjectedUntil: s.ejectedUntil,
+			Limit: limit, LimitShare: s.limit.Share().PerSecond,
 			ReportedDraining: s.draining, BackoffUntil: s.backoff.until, ReportedLoad: s.reportedLoad,
 		})
 	}
 	return out
 }
 
-// WaitingCalls gives how many calls wait for each service.
+// WaitingCalls returns the number of waiting calls by service.
 func (d *Dispatcher) WaitingCalls() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/dispatch/throttle.go
+++ b/services/dispatch/throttle.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// throttled says whether a server's own word keeps calls from it now.
+// throttled reports whether the server's rate limit or back-off forbids sending a call now.
 func (s *server) throttled(now time.Time) bool {
 	return !s.limit.Admits(now) || s.backoff.active(now)
 }
 
-// throttled says whether what all servers that calls of a service may go to say of themselves
-// tells when calls start, and not how long calls keep their slots.
+// throttled reports whether all servers that calls of the service may be sent to have a rate
+// limit or a back-off. These determine when calls start then, and not the durations of calls.
 func (s *service) throttled(now time.Time) bool {
 	n := 0
 	for _, one := range s.servers {
@@ -26,20 +26,20 @@
 	return n > 0
 }
 
-// throttledStart is in how many seconds a call starts here that has so many ahead, where all
-// servers have limits or rest; infinite if this entry has no part of any limit and is not
-// likely to be lent one.
+// throttledStart returns in how many seconds a call with the given number of calls ahead of it
+// starts at this entry if all servers are throttled; +Inf if this entry has no share of any
+// limit and cannot expect permits of another entry.
 func (s *service) throttledStart(now time.Time, share float64, ahead int) float64 {
-	soonest, rate, lends := math.Inf(1), 0.0, false
+	soonest, rate, transferable := math.Inf(1), 0.0, false
 	for _, one := range s.servers {
 		if one.Draining {
 			continue
 		}
 		soonest = min(soonest, max(one.limit.Wait(now), one.backoff.wait(now)))
 		rate += one.limit.Share().PerSecond
-		lends = lends || !one.backoff.active(now)
+		transferable = transferable || !one.backoff.active(now)
 	}
-	if lends && s.permitRequests.likely(now, ahead) {
+	if transferable && s.permitRequests.likely(now, ahead) {
 		return 0
 	}
 	if rate *= share; ahead == 0 || rate == 0 {
@@ -48,8 +48,8 @@
 	return soonest + float64(ahead)/rate
 }
 
-// BackoffRemaining is for how much longer all servers rest that a service's calls may go to; 0 if one
-// does not.
+// BackoffRemaining returns the time until the first back-off ends if all servers that calls of
+// the service may be sent to are in a back-off, or else 0.
 func (d *Dispatcher) BackoffRemaining(service string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/dispatch/turn_test.go
+++ b/services/dispatch/turn_test.go
@@ -135,7 +135,7 @@
 		is := is.New(t)
 		d := newDispatcher(1)
 		d.Self = "here"
-		first := taken(t, d, "first")
+		first := mustAcquire(t, d, "first")
 		d.SetPeerLoad("other", runworks.EntryLoad{Waiting: runworks.WaitingCalls{"llm": {Rank: 0, Calls: 1_000_000}}})
 		waiting := acquireAsync(d, newRequest("waits", 0))
 		first.Release(Served)
