--- a/services/dispatch/choose.go
+++ b/services/dispatch/choose.go
@@ -109,12 +109,12 @@
 // candidate.
 func (d *Dispatcher) choose(now time.Time, s *service, open []*server, w *waiter) *server {
 	var best *server
-	var lowest float64
+	var bestScore float64
 	f := s.forecast()
 	typical, fastest := s.paces()
 	for _, one := range s.candidates(now, f, open, w, fastest) {
-		if score := d.score(one, typical) + f.latencyScore(now, one, w.req); best == nil || score < lowest {
-			best, lowest = one, score
+		if score := d.score(one, typical) + f.latencyScore(now, one, w.req); best == nil || score < bestScore {
+			best, bestScore = one, score
 		}
 	}
 	return best
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -81,7 +81,7 @@
 	// SendServerNotice is called with a server notice to be sent to the other entries.
 	SendServerNotice func(notice runworks.ServerNotice)
 	// RequestPermits is called with a request for permits to be sent to another entry, whose
-	// reply goes to Borrowed. Without it no permits are requested.
+	// reply goes to FinishTransfer. Without it no permits are requested.
 	RequestPermits func(transfer *PermitTransfer)
 
 	mu sync.Mutex
--- a/services/dispatch/scale_test.go
+++ b/services/dispatch/scale_test.go
@@ -14,15 +14,15 @@
 	"github.com/runworks/runworks"
 )
 
-// BenchmarkReport applies a load report at an entry of a large site: 102 other entries, 160
+// BenchmarkSetPeerLoad applies a load report at an entry of a large site: 102 other entries, 160
 // engines whose slots are all taken, and the given number of calls waiting at each entry.
-func BenchmarkReport(b *testing.B) {
+func BenchmarkSetPeerLoad(b *testing.B) {
 	for _, waiting := range []int{0, 10, 100} {
-		b.Run(fmt.Sprint("waiting-", waiting), func(b *testing.B) { benchmarkReport(b, waiting) })
+		b.Run(fmt.Sprint("waiting-", waiting), func(b *testing.B) { benchmarkSetPeerLoad(b, waiting) })
 	}
 }
 
-func benchmarkReport(b *testing.B, waiting int) {
+func benchmarkSetPeerLoad(b *testing.B, waiting int) {
 	const (
 		peers   = 102
 		engines = 160
