--- a/services/admission/admit.go
+++ b/services/admission/admit.go
@@ -14,14 +14,14 @@
 
 const retryNotReady = time.Second
 
-// Request is what a caller wants, as its call says.
+// Request is a call as the caller sent it.
 type Request struct {
-	// Key is the customer's key.
+	// Key is the customer's API key.
 	Key string
-	// Model names the model for an engine; Service the service for a plain call.
+	// Model names the model of a call to an engine; Service the service of a plain call.
 	Model   string
 	Service string
-	// Kind, Tier and Timeout are the caller's wishes; empty or zero means none.
+	// Kind, Tier and Timeout are what the caller requested; empty or zero if nothing.
 	Kind    string
 	Tier    string
 	Timeout time.Duration
@@ -32,77 +32,78 @@
 	MaxTokens      int
 }
 
-// Admission admits calls by the configuration in force. Set the exported
-// fields before use.
+// Admission admits calls according to the active configuration. Set the exported fields before
+// use.
 type Admission struct {
-	// Config gives the configuration in force.
+	// Config holds the active configuration.
 	Config *config.Follower
-	// Shares tells this entry's part of the customers' limits.
+	// Shares holds this entry's share of the customers' limits.
 	Shares *Shares
 
 	limits limits
 }
 
-// Admitted is a request that was let in; call Release at its end.
+// Admitted is an admitted request. Call Release when it ends.
 type Admitted struct {
 	Request *runworks.Request
-	// Release gives back what the request holds of its customer's limits.
+	// Release returns what the request uses of its customer's limits.
 	Release func()
 }
 
-// Customer finds who calls.
+// Customer returns the customer with an API key, and the configuration it is from. The error
+// wraps ErrNotReady, ErrNoKey or ErrUnknownKey.
 func (a *Admission) Customer(key string) (*config.InForce, *runworks.Customer, error) {
-	now := a.Config.InForce()
-	if now == nil {
+	cfg := a.Config.InForce()
+	if cfg == nil {
 		return nil, nil, runworks.NotRun(runworks.ErrNotReady, retryNotReady)
 	}
 	if key == "" {
 		return nil, nil, runworks.NotRun(runworks.ErrNoKey, 0)
 	}
-	customer := now.CustomerByKey(key)
+	customer := cfg.CustomerByKey(key)
 	if customer == nil {
 		return nil, nil, runworks.NotRun(runworks.ErrUnknownKey, 0)
 	}
-	return now, customer, nil
+	return cfg, customer, nil
 }
 
-// Admit lets a call in as a request, or gives a Failure: not-run in every case,
-// but that a call with an idempotency key speaks for itself alone.
-func (a *Admission) Admit(ask *Request) (*Admitted, error) {
-	admitted, err := a.admit(ask)
-	if err == nil || !minted(ask.IdempotencyKey) {
+// Admit admits a call as a request, or returns a Failure. Its outcome is not-run, except that for
+// a call with an idempotency key it covers this attempt only.
+func (a *Admission) Admit(r *Request) (*Admitted, error) {
+	admitted, err := a.admit(r)
+	if err == nil || !isUUIDv7(r.IdempotencyKey) {
 		return admitted, err
 	}
-	return nil, keyedRefusal(err)
+	return nil, keyedRejection(err)
 }
 
-func (a *Admission) admit(ask *Request) (*Admitted, error) {
-	now, customer, err := a.Customer(ask.Key)
+func (a *Admission) admit(r *Request) (*Admitted, error) {
+	cfg, customer, err := a.Customer(r.Key)
 	if err != nil {
 		return nil, err
 	}
-	service, err := findService(now, ask)
+	service, err := findService(cfg, r)
 	if err != nil {
 		return nil, err
 	}
-	rule := now.Rule(customer.Name, ask.Kind, service.Name)
+	rule := cfg.Rule(customer.Name, r.Kind, service.Name)
 	if rule == nil {
-		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrNoRule, "customer %q, kind %q, service %q", customer.Name, ask.Kind, service.Name), 0)
+		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrNoRule, "customer %q, kind %q, service %q", customer.Name, r.Kind, service.Name), 0)
 	}
-	req, err := newRequest(now, customer, service, rule, ask)
+	req, err := newRequest(cfg, customer, service, rule, r)
 	if err != nil {
 		return nil, err
 	}
-	release, failure := a.limits.take(time.Now(), customer, a.Shares.at(time.Now()))
+	release, failure := a.limits.acquire(time.Now(), customer, a.Shares.at(time.Now()))
 	if failure != nil {
 		return nil, failure
 	}
 	return &Admitted{Request: req, Release: release}, nil
 }
 
-// keyedRefusal keeps the refusal of a keyed call from speaking for an earlier
-// call under the same key.
-func keyedRefusal(err error) error {
+// keyedRejection limits the rejection of a call with a key to this attempt: an earlier one under
+// the same key may have run.
+func keyedRejection(err error) error {
 	var failure *runworks.Failure
 	if !errors.As(err, &failure) {
 		return err
@@ -112,48 +113,48 @@
 	return failure
 }
 
-func findService(now *config.InForce, ask *Request) (*runworks.Service, error) {
-	if ask.Service != "" {
-		service := now.Service(ask.Service)
+func findService(cfg *config.InForce, r *Request) (*runworks.Service, error) {
+	if r.Service != "" {
+		service := cfg.Service(r.Service)
 		if service == nil || service.Kind != runworks.KindPlain {
-			return nil, runworks.NotRun(errorx.Decorate(runworks.ErrUnknownService, "%q", ask.Service), 0)
+			return nil, runworks.NotRun(errorx.Decorate(runworks.ErrUnknownService, "%q", r.Service), 0)
 		}
 		return service, nil
 	}
-	service := now.ServiceByModel(ask.Model)
+	service := cfg.ServiceByModel(r.Model)
 	if service == nil {
-		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrUnknownModel, "%q", ask.Model), 0)
+		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrUnknownModel, "%q", r.Model), 0)
 	}
 	return service, nil
 }
 
-// newRequest builds the request that the rule allows.
-func newRequest(now *config.InForce, customer *runworks.Customer, service *runworks.Service, rule *runworks.Rule, ask *Request) (*runworks.Request, error) {
-	tier, err := chooseTier(now, rule, ask.Tier)
+// newRequest builds the request as the rule allows it.
+func newRequest(cfg *config.InForce, customer *runworks.Customer, service *runworks.Service, rule *runworks.Rule, r *Request) (*runworks.Request, error) {
+	tier, err := chooseTier(cfg, rule, r.Tier)
 	if err != nil {
 		return nil, err
 	}
-	key, err := usableKey(rule, ask.IdempotencyKey)
+	key, err := acceptedKey(rule, r.IdempotencyKey)
 	if err != nil {
 		return nil, err
 	}
 	return &runworks.Request{
-		ID: runworks.RequestID(uuid.NewString()), Call: ask.Call, Kind: service.Kind, Service: service.Name,
+		ID: runworks.RequestID(uuid.NewString()), Call: r.Call, Kind: service.Kind, Service: service.Name,
 		Customer: customer.Name, Weight: customer.Weight, Tier: tier.Name, Rank: tier.Rank,
-		Deadline: time.Now().Add(timeLimit(tier, rule, ask.Timeout)), Repeatable: !rule.NotRepeatable,
-		IdempotencyKey: key, PromptTokens: ask.PromptTokens, MaxTokens: ask.MaxTokens,
+		Deadline: time.Now().Add(timeLimit(tier, rule, r.Timeout)), Repeatable: !rule.NotRepeatable,
+		IdempotencyKey: key, PromptTokens: r.PromptTokens, MaxTokens: r.MaxTokens,
 	}, nil
 }
 
-// chooseTier takes the caller's wish if it is not above the rule's tier.
-func chooseTier(now *config.InForce, rule *runworks.Rule, wish string) (*runworks.Tier, error) {
-	highest := now.Tier(rule.Tier)
-	if wish == "" {
+// chooseTier returns the requested tier if it is not above the rule's.
+func chooseTier(cfg *config.InForce, rule *runworks.Rule, requested string) (*runworks.Tier, error) {
+	highest := cfg.Tier(rule.Tier)
+	if requested == "" {
 		return highest, nil
 	}
-	tier := now.Tier(wish)
+	tier := cfg.Tier(requested)
 	if tier == nil {
-		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrBadRequest, "no tier is named %q", wish), 0)
+		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrBadRequest, "no tier is named %q", requested), 0)
 	}
 	if tier.Rank < highest.Rank {
 		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrNoRule, "the rule allows tier %q at the highest", highest.Name), 0)
@@ -161,20 +162,19 @@
 	return tier, nil
 }
 
-// timeLimit takes the caller's wish up to what the rule allows.
-func timeLimit(tier *runworks.Tier, rule *runworks.Rule, wish time.Duration) time.Duration {
-	most := max(rule.MaxTimeout, tier.Timeout)
-	if wish > 0 {
-		return min(wish, most)
+// timeLimit returns the requested time limit, up to what the rule allows.
+func timeLimit(tier *runworks.Tier, rule *runworks.Rule, requested time.Duration) time.Duration {
+	upper := max(rule.MaxTimeout, tier.Timeout)
+	if requested > 0 {
+		return min(requested, upper)
 	}
 	return tier.Timeout
 }
 
-// usableKey gives the key to go by. Only a UUIDv7 lets a home prove a key
-// unused: another key is an error where the request must not run twice, and
-// counts as none elsewhere.
-func usableKey(rule *runworks.Rule, key string) (string, error) {
-	if key == "" || minted(key) {
+// acceptedKey returns the idempotency key to use. A key owner can prove only a UUIDv7 unused:
+// another key is an error where the request must not run twice, and is ignored elsewhere.
+func acceptedKey(rule *runworks.Rule, key string) (string, error) {
+	if key == "" || isUUIDv7(key) {
 		return key, nil
 	}
 	if rule.NotRepeatable {
@@ -183,7 +183,7 @@
 	return "", nil
 }
 
-func minted(key string) bool {
+func isUUIDv7(key string) bool {
 	_, ok := idempotency.Minted(key)
 	return ok
 }
--- a/services/admission/doc.go
+++ b/services/admission/doc.go
@@ -1,3 +1,3 @@
-// Package admission decides whether a call may become a request: who calls, by
-// which rule, at which tier, within which limits.
+// Package admission decides whether a call becomes a request: which customer sends it, which rule
+// applies, at which tier and within which limits.
 package admission
--- a/services/admission/limits.go
+++ b/services/admission/limits.go
@@ -12,7 +12,7 @@
 	"github.com/runworks/runworks"
 )
 
-// limits holds the customers' rates and requests at once, at this entry.
+// limits holds the customers' request rates and requests in flight at this entry.
 type limits struct {
 	mu        sync.Mutex
 	customers map[string]*limit
@@ -20,35 +20,36 @@
 
 // limit is what one customer uses here; rate is nil without a limit.
 type limit struct {
-	rate   *rate.Limiter
-	atOnce int
+	rate     *rate.Limiter
+	inFlight int
 }
 
-// take counts a request in, or gives the failure of a limit that is reached.
-func (l *limits) take(now time.Time, customer *runworks.Customer, s share) (func(), *runworks.Failure) {
+// acquire counts a request, or returns the failure of the limit that is reached. The returned
+// function ends it.
+func (l *limits) acquire(now time.Time, customer *runworks.Customer, s share) (func(), *runworks.Failure) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s.none && (customer.Concurrency > 0 || customer.RatePerSecond > 0) {
 		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrNotReady, "this entry has no share of the customers' limits yet"), time.Second)
 	}
-	one := l.of(customer.Name)
-	if customer.Concurrency > 0 && one.atOnce >= s.whole(customer.Concurrency) {
+	one := l.get(customer.Name)
+	if customer.Concurrency > 0 && one.inFlight >= s.splitInt(customer.Concurrency) {
 		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrLimit, "%d requests at once", customer.Concurrency), time.Second)
 	}
-	if wait := one.wait(now, s.rate(customer.RatePerSecond)); wait > 0 {
+	if wait := one.reserve(now, s.splitRate(customer.RatePerSecond)); wait > 0 {
 		return nil, runworks.NotRun(errorx.Decorate(runworks.ErrLimit, "%g requests a second", customer.RatePerSecond), wait)
 	}
-	one.atOnce++
-	return sync.OnceFunc(func() { l.give(one) }), nil
+	one.inFlight++
+	return sync.OnceFunc(func() { l.release(one) }), nil
 }
 
-func (l *limits) give(one *limit) {
+func (l *limits) release(one *limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	one.atOnce--
+	one.inFlight--
 }
 
-func (l *limits) of(name string) *limit {
+func (l *limits) get(name string) *limit {
 	if l.customers == nil {
 		l.customers = make(map[string]*limit)
 	}
@@ -60,8 +61,8 @@
 	return one
 }
 
-// wait takes a request of the rate, or tells how long until there is one.
-func (l *limit) wait(now time.Time, perSecond float64) time.Duration {
+// reserve takes a permit for one request from the rate, or returns how long until there is one.
+func (l *limit) reserve(now time.Time, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		l.rate = nil
 		return 0
--- a/services/admission/limits_test.go
+++ b/services/admission/limits_test.go
@@ -14,10 +14,9 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestSharesStayWithinTheLimit lets entries come and go at random. Each reads
-// the list at its own times and late, up to the bound, and one that leaves goes
-// on until it has read so; at every moment the parts of all add up to the limit
-// at the most.
+// TestSharesStayWithinTheLimit adds and removes entries at random. Each reads the list at its own
+// times and late, up to the bound, and a removed one keeps running until it reads that. At every
+// moment the shares of all must add up to the limit at most.
 func TestSharesStayWithinTheLimit(t *testing.T) {
 	const (
 		settle = 5 * time.Second
@@ -29,12 +28,12 @@
 		live := []string{"a", "b"}
 		entries := map[string]*Shares{}
 		reads := map[string]time.Time{}
-		history := []seenEntries{{from: begin.Add(-time.Hour), entries: slices.Clone(live)}}
+		history := []entryList{{from: begin.Add(-time.Hour), entries: slices.Clone(live)}}
 		largest := 0
 		for at := begin; at.Before(begin.Add(2 * time.Minute)); at = at.Add(step) {
 			if random.IntN(60) == 0 {
 				live = change(random, live)
-				history = append(history, seenEntries{from: at, entries: slices.Clone(live)})
+				history = append(history, entryList{from: at, entries: slices.Clone(live)})
 			}
 			for _, name := range live {
 				if entries[name] == nil {
@@ -48,7 +47,7 @@
 					s.Observe(at, listAt(history, at.Add(-lag)))
 					reads[name] = at.Add(time.Second)
 				}
-				sum += s.at(at).whole(7)
+				sum += s.at(at).splitInt(7)
 			}
 			if sum > 7 {
 				t.Fatalf("%d of 7 in use at %s by %v", sum, at.Sub(begin), live)
@@ -56,7 +55,7 @@
 			largest = max(largest, sum)
 			for name, s := range entries {
 				if !slices.Contains(live, name) && !s.Ready(at) {
-					delete(entries, name) // it has read that it is leaving
+					delete(entries, name) // it has read that it is removed
 				}
 			}
 		}
@@ -66,7 +65,7 @@
 	}
 }
 
-// change adds an entry or takes one away.
+// change adds or removes an entry.
 func change(random *rand.Rand, live []string) []string {
 	if len(live) > 1 && random.IntN(2) == 0 {
 		i := random.IntN(len(live))
@@ -77,8 +76,8 @@
 	return out
 }
 
-// listAt gives the list as it was at a time.
-func listAt(history []seenEntries, at time.Time) []string {
+// listAt returns the list as of a time.
+func listAt(history []entryList, at time.Time) []string {
 	var out []string
 	for _, h := range history {
 		if h.from.After(at) {
@@ -89,9 +88,9 @@
 	return out
 }
 
-// TestLimits takes requests up to the limits of a customer.
+// TestLimits checks how many requests a customer's limits admit.
 func TestLimits(t *testing.T) {
-	two := share{n: 2, index: 0}
+	two := share{entries: 2, index: 0}
 	tests := []struct {
 		name     string
 		customer runworks.Customer
@@ -101,8 +100,8 @@
 		{"no limit", runworks.Customer{Name: "c"}, two, 20},
 		{"at once", runworks.Customer{Name: "c", Concurrency: 5}, two, 3},
 		{"rate", runworks.Customer{Name: "c", RatePerSecond: 8}, two, 4},
-		{"no share yet", runworks.Customer{Name: "c", Concurrency: 5}, share{n: 2, none: true}, 0},
-		{"no share and no limit", runworks.Customer{Name: "c"}, share{n: 2, none: true}, 20},
+		{"no share yet", runworks.Customer{Name: "c", Concurrency: 5}, share{entries: 2, none: true}, 0},
+		{"no share and no limit", runworks.Customer{Name: "c"}, share{entries: 2, none: true}, 20},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -110,33 +109,33 @@
 			var l limits
 			taken := 0
 			for range 20 {
-				_, failure := l.take(begin, &test.customer, test.share)
+				_, failure := l.acquire(begin, &test.customer, test.share)
 				if failure == nil {
 					taken++
 					continue
 				}
 				is.Equal(failure.Outcome, runworks.OutcomeNotRun)
-				is.True(failure.RetryAfter > 0) // a time to come back
+				is.True(failure.RetryAfter > 0) // a Retry-After
 			}
 			is.Equal(taken, test.want)
 		})
 	}
 }
 
-// TestLimitIsGivenBack releases a request twice: it counts once.
-func TestLimitIsGivenBack(t *testing.T) {
+// TestReleaseTwice checks that a request that is released twice counts once.
+func TestReleaseTwice(t *testing.T) {
 	is := is.New(t)
 	var l limits
 	customer := &runworks.Customer{Name: "c", Concurrency: 1}
-	alone := share{n: 1}
-	release, failure := l.take(begin, customer, alone)
+	alone := share{entries: 1}
+	release, failure := l.acquire(begin, customer, alone)
 	is.True(failure == nil)
-	_, failure = l.take(begin, customer, alone)
+	_, failure = l.acquire(begin, customer, alone)
 	is.True(failure != nil)
 	release()
 	release()
-	_, failure = l.take(begin, customer, alone)
+	_, failure = l.acquire(begin, customer, alone)
 	is.True(failure == nil)
-	_, failure = l.take(begin, customer, alone)
+	_, failure = l.acquire(begin, customer, alone)
 	is.True(failure != nil)
 }
--- a/services/pick/pick.go
+++ b/services/pick/pick.go
@@ -1,26 +1,26 @@
-// Package pick chooses which agent gets the first ticket of a request.
+// Package pick chooses which agent gets the first reservation of a request.
 package pick
 
 import "github.com/runworks/runworks"
 
-// LeastWork guesses which agent claims first: the fastest one that seems to have
-// a free slot, and without one the agent with the least work for its slots and
-// speed. All others get tickets too.
+// LeastWork guesses which agent claims first: the fastest one that seems to have a free slot, and
+// without one the agent with the least work for its slots and speed. All others get reservations
+// too.
 type LeastWork struct{}
 
 // Pick implements runworks.Picker.
 func (LeastWork) Pick(_ *runworks.Request, candidates []runworks.Candidate) int {
 	best := 0
 	for i := range candidates[1:] {
-		if before(&candidates[i+1], &candidates[best]) {
+		if better(&candidates[i+1], &candidates[best]) {
 			best = i + 1
 		}
 	}
 	return best
 }
 
-// before says whether a is the better guess than b.
-func before(a, b *runworks.Candidate) bool {
+// better reports whether a is the better guess than b.
+func better(a, b *runworks.Candidate) bool {
 	freeA, freeB := a.HasFreeSlot(), b.HasFreeSlot()
 	switch {
 	case freeA != freeB:
--- a/services/quarantine/answers.go
+++ b/services/quarantine/answers.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// answeredFor is for how long an answer speaks for a request. Many callers may send the
-	// same one, and when all servers of a service end at once it is at each of them: held
-	// for that, it would never be answered again. Long enough that one which comes each few
-	// seconds is always among them; short, as a new version of a server may end under what
-	// the old one answered.
-	answeredFor = 30 * time.Second
-	// maxAnswered bounds the answers that are kept: about a minute's of a host in the largest
-	// fleet.
-	maxAnswered = 4096
+	// answerRetention is how long an answer clears a request of new exits. Many callers may send
+	// the same request, and when all servers of a service exit at once it runs on each of them:
+	// quarantined for that, it would never be answered again. It is long enough to always cover a
+	// request that comes every few seconds; and short, as a new version of a server may exit on
+	// what the old one answered.
+	answerRetention = 30 * time.Second
+	// maxAnswers bounds the answers that are kept: about a minute's worth of a host in the
+	// largest installation.
+	maxAnswers = 4096
 )
 
-// answers remember the requests that were answered last. The zero value is ready; it takes
-// no lock.
+// answers holds the requests that were answered last. The zero value is ready; it is guarded by
+// Quarantine's lock.
 type answers struct {
-	// at is when each was answered last, and ring the order in which they came.
-	at   map[runworks.Fingerprint]time.Time
-	ring []runworks.Fingerprint
-	next int
+	// lastAt is when each was last answered, and ring their order of arrival.
+	lastAt map[runworks.Fingerprint]time.Time
+	ring   []runworks.Fingerprint
+	next   int
 }
 
-// add remembers an answer in the place of the oldest.
+// add adds an answer, in place of the oldest if there are too many.
 func (a *answers) add(now time.Time, f runworks.Fingerprint) {
-	if a.at == nil {
-		a.at = make(map[runworks.Fingerprint]time.Time, maxAnswered)
+	if a.lastAt == nil {
+		a.lastAt = make(map[runworks.Fingerprint]time.Time, maxAnswers)
 	}
-	if _, known := a.at[f]; known {
-		a.at[f] = now
+	if _, known := a.lastAt[f]; known {
+		a.lastAt[f] = now
 		return
 	}
-	a.at[f] = now
-	if len(a.ring) < maxAnswered {
+	a.lastAt[f] = now
+	if len(a.ring) < maxAnswers {
 		a.ring = append(a.ring, f)
 		return
 	}
-	delete(a.at, a.ring[a.next])
+	delete(a.lastAt, a.ring[a.next])
 	a.ring[a.next] = f
-	a.next = (a.next + 1) % maxAnswered
+	a.next = (a.next + 1) % maxAnswers
 }
 
-// has says whether a request was answered of late.
+// has reports whether a request was answered recently.
 func (a *answers) has(now time.Time, f runworks.Fingerprint) bool {
-	at, ok := a.at[f]
-	return ok && now.Sub(at) <= answeredFor
+	at, ok := a.lastAt[f]
+	return ok && now.Sub(at) <= answerRetention
 }
--- a/services/quarantine/disconnects.go
+++ b/services/quarantine/disconnects.go
@@ -8,46 +8,46 @@
 )
 
 const (
-	// goneWithin is within which time after a break a server that has ended is known to be
-	// gone: its record lapses some 3 s after its end, and some more where the store is slow.
-	goneWithin = 10 * time.Second
-	// maxBreaks bounds the breaks that are kept: some times what all servers of a large
-	// service have just begun to run at an entry.
-	maxBreaks = 1024
+	// removedWithin is how long after a disconnect an exited server is removed at the latest: its
+	// record expires about 3 s after the exit, and later where the store is slow.
+	removedWithin = 10 * time.Second
+	// maxDisconnects bounds the disconnects that are kept: several times what all servers of a
+	// large service have just begun to run for an entry.
+	maxDisconnects = 1024
 )
 
-// breaks remember which requests lives of backend servers broke off of late. A server may
-// end unseen: the host that would ask it for a connection is cut off or frozen, or the server
-// is back by then. The zero value is ready; it takes no lock.
-type breaks struct {
-	list []brokenOff
+// disconnects holds the requests during which backend servers recently closed the connection. A
+// server may exit unseen: the host that is asked for a connection is cut off or frozen, or the
+// server is already up again. The zero value is ready; it is guarded by Quarantine's lock.
+type disconnects struct {
+	list []disconnect
 }
 
-// brokenOff is a request that a server broke off.
-type brokenOff struct {
+// disconnect is a request during which a server closed the connection.
+type disconnect struct {
 	server string
 	f      runworks.Fingerprint
 	at     time.Time
 }
 
-// add remembers a break in the place of those that are too old, or of the oldest.
-func (b *breaks) add(now time.Time, f runworks.Fingerprint, server string) {
-	b.list = slices.DeleteFunc(b.list, func(one brokenOff) bool { return now.Sub(one.at) > goneWithin })
-	if len(b.list) >= maxBreaks {
+// add adds a disconnect and drops those that are too old, or the oldest if there are too many.
+func (b *disconnects) add(now time.Time, f runworks.Fingerprint, server string) {
+	b.list = slices.DeleteFunc(b.list, func(one disconnect) bool { return now.Sub(one.at) > removedWithin })
+	if len(b.list) >= maxDisconnects {
 		b.list = slices.Delete(b.list, 0, 1)
 	}
-	b.list = append(b.list, brokenOff{server: server, f: f, at: now})
+	b.list = append(b.list, disconnect{server: server, f: f, at: now})
 }
 
-// take gives the requests that a server broke off within the time that counts, and forgets
-// them.
-func (b *breaks) take(now time.Time, server string) []runworks.Fingerprint {
+// take removes the disconnects of a server and returns the requests of those that are recent
+// enough.
+func (b *disconnects) take(now time.Time, server string) []runworks.Fingerprint {
 	var out []runworks.Fingerprint
-	b.list = slices.DeleteFunc(b.list, func(one brokenOff) bool {
+	b.list = slices.DeleteFunc(b.list, func(one disconnect) bool {
 		if one.server != server {
 			return false
 		}
-		if now.Sub(one.at) <= goneWithin {
+		if now.Sub(one.at) <= removedWithin {
 			out = append(out, one.f)
 		}
 		return true
--- a/services/quarantine/doc.go
+++ b/services/quarantine/doc.go
@@ -1,3 +1,3 @@
-// Package quarantine keeps requests from the backend servers that end each one which begins
-// to run them, and knows such a request again whenever it comes back.
+// Package quarantine keeps requests that make backend servers exit away from further servers, and
+// recognises such a request whenever it is sent again.
 package quarantine
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -15,9 +15,9 @@
 // start is when each script begins.
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestScripts plays what entries see and tell each other: a line for each step, with the time
-// since the start, the entry, what it does and with which request. Each entry keeps what it
-// tells; tell hands it on, in its order or the other way round.
+// TestScripts runs what entries observe and send to each other: each line has the time since the
+// start, the entry, an action and a request. Each entry keeps its updates; send sends them on,
+// send-reversed in reverse order.
 func TestScripts(t *testing.T) {
 	var entries map[string]*scripted
 	datadriven.RunTest(t, "testdata/script", func(t *testing.T, d *datadriven.TestData) string {
@@ -47,8 +47,8 @@
 // scripted is an entry of a script.
 type scripted struct {
 	*Quarantine
-	news []runworks.Suspect
-	out  *strings.Builder
+	updates []runworks.Suspect
+	out     *strings.Builder
 }
 
 func newScripted() *scripted {
@@ -56,7 +56,7 @@
 	s.Quarantine = &Quarantine{
 		ExitThreshold: 3, Duration: time.Hour,
 		OnUpdate: func(n runworks.Suspect, record bool) {
-			s.news = append(s.news, n)
+			s.updates = append(s.updates, n)
 			if record {
 				fmt.Fprintf(s.out, "%s recorded\n", n.Fingerprint)
 			}
@@ -69,37 +69,37 @@
 	return s
 }
 
-func (s *scripted) step(t *testing.T, now time.Time, entries map[string]*scripted, words []string) {
+func (s *scripted) step(t *testing.T, now time.Time, entries map[string]*scripted, args []string) {
 	t.Helper()
-	verb, what := words[0], runworks.Fingerprint(words[1])
+	verb, what := args[0], runworks.Fingerprint(args[1])
 	switch verb {
-	case "blame":
-		s.AttributeExit(now, what, words[2])
-	case "broken":
-		s.RecordDisconnect(now, what, words[2])
-	case "gone":
-		fmt.Fprintf(s.out, "gone %v\n", s.ServerRemoved(now, words[1]))
+	case "exit":
+		s.AttributeExit(now, what, args[2])
+	case "disconnect":
+		s.RecordDisconnect(now, what, args[2])
+	case "removed":
+		fmt.Fprintf(s.out, "gone %v\n", s.ServerRemoved(now, args[1]))
 	case "answered":
 		s.RecordAnswer(now, what)
-	case "lift":
+	case "release":
 		fmt.Fprintf(s.out, "known %t\n", s.Release(now, what))
-	case "ask":
+	case "held-for":
 		fmt.Fprintf(s.out, "%s wait %s\n", what, s.HeldFor(now, what))
-	case "tell":
-		entries[words[1]].Apply(now, s.news)
-	case "tell-backwards":
-		for i := range s.news {
-			entries[words[1]].Apply(now, s.news[len(s.news)-1-i:][:1])
+	case "send":
+		entries[args[1]].Apply(now, s.updates)
+	case "send-reversed":
+		for i := range s.updates {
+			entries[args[1]].Apply(now, s.updates[len(s.updates)-1-i:][:1])
 		}
-	case "greet":
-		entries[words[1]].Apply(now, s.List(now))
+	case "send-all":
+		entries[args[1]].Apply(now, s.List(now))
 	default:
 		t.Fatalf("no verb %s", verb)
 	}
 }
 
-// TestBounds keeps as many suspects and ends as its bounds allow: those that are held stay,
-// and of the others the newest.
+// TestBounds checks the bounds on suspects and exits: quarantined requests stay, and of the
+// others the newest.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	q := &Quarantine{ExitThreshold: 3, Duration: time.Hour}
@@ -115,30 +115,30 @@
 	is.True(q.HeldFor(now, "held") > 0)
 	is.Equal(len(q.Get("0").Exits), 0)
 	is.Equal(len(q.Get(runworks.Fingerprint(fmt.Sprint(2*maxSuspects-1))).Exits), 1)
-	for i := range 2 * maxEnds {
+	for i := range 2 * maxExits {
 		q.AttributeExit(start.Add(time.Duration(i)*time.Second), "held", fmt.Sprint("t", i))
 	}
 	ends := q.Get("held").Exits
-	is.Equal(len(ends), maxEnds)
-	is.Equal(ends[maxEnds-1].Server, fmt.Sprint("t", 2*maxEnds-1))
+	is.Equal(len(ends), maxExits)
+	is.Equal(ends[maxExits-1].Server, fmt.Sprint("t", 2*maxExits-1))
 	is.Equal(len(q.List(start.Add(3*time.Hour))), 0)
 	is.True(q.Empty())
 }
 
-// TestAnswersAreBounded remembers the last answers alone.
+// TestAnswersAreBounded checks that only the last answers are kept.
 func TestAnswersAreBounded(t *testing.T) {
 	is := is.New(t)
 	var a answers
-	for i := range 2 * maxAnswered {
+	for i := range 2 * maxAnswers {
 		a.add(start, runworks.Fingerprint(fmt.Sprint(i)))
 	}
-	is.Equal(len(a.at), maxAnswered)
+	is.Equal(len(a.lastAt), maxAnswers)
 	is.True(!a.has(start, "0"))
-	is.True(a.has(start, runworks.Fingerprint(fmt.Sprint(2*maxAnswered-1))))
+	is.True(a.has(start, runworks.Fingerprint(fmt.Sprint(2*maxAnswers-1))))
 }
 
-// TestZeroHoldsNothing lets all requests go where no bound is set.
-func TestZeroHoldsNothing(t *testing.T) {
+// TestZeroValue checks that no request is quarantined without a threshold.
+func TestZeroValue(t *testing.T) {
 	is := is.New(t)
 	var q Quarantine
 	for i := range 10 {
@@ -147,16 +147,16 @@
 	is.Equal(q.HeldFor(start, "f"), time.Duration(0))
 }
 
-// TestBreaksAreBounded remembers the last breaks alone.
-func TestBreaksAreBounded(t *testing.T) {
+// TestDisconnectsAreBounded checks that only the last disconnects are kept.
+func TestDisconnectsAreBounded(t *testing.T) {
 	is := is.New(t)
-	var b breaks
-	for i := range 2 * maxBreaks {
+	var b disconnects
+	for i := range 2 * maxDisconnects {
 		b.add(start, runworks.Fingerprint(fmt.Sprint(i)), fmt.Sprint("s", i))
 	}
-	is.Equal(len(b.list), maxBreaks)
+	is.Equal(len(b.list), maxDisconnects)
 	is.Equal(len(b.take(start, "s0")), 0)
-	is.Equal(b.take(start, fmt.Sprint("s", 2*maxBreaks-1)), []runworks.Fingerprint{runworks.Fingerprint(fmt.Sprint(2*maxBreaks - 1))})
+	is.Equal(b.take(start, fmt.Sprint("s", 2*maxDisconnects-1)), []runworks.Fingerprint{runworks.Fingerprint(fmt.Sprint(2*maxDisconnects - 1))})
 	b.add(start.Add(time.Minute), "f", "s")
 	is.Equal(len(b.list), 1)
 }
--- a/services/quarantine/suspect.go
+++ b/services/quarantine/suspect.go
@@ -7,30 +7,30 @@
 	"github.com/runworks/runworks"
 )
 
-// addLocked adds what was seen or told of a request; the function that it gives tells of a
-// change, and is to be called without the lock.
-func (q *Quarantine) addLocked(now time.Time, news *runworks.Suspect) (tell func()) {
-	tell = func() {}
-	if q.Expired(now, news) {
-		return tell
+// addLocked applies an update. The returned function calls the callback for a change; call it
+// without the lock.
+func (q *Quarantine) addLocked(now time.Time, update *runworks.Suspect) (notify func()) {
+	notify = func() {}
+	if q.Expired(now, update) {
+		return notify
 	}
-	s := q.suspectLocked(now, news.Fingerprint)
-	before, heldBefore := len(s.ends), q.heldLocked(now, s) > 0
-	s.add(now, news)
-	held := q.heldLocked(now, s)
+	s := q.suspectLocked(now, update.Fingerprint)
+	exitsBefore, heldBefore := len(s.exits), q.heldForLocked(now, s) > 0
+	s.add(now, update)
+	held := q.heldForLocked(now, s)
 	switch {
 	case held > 0 && !heldBefore:
-		told := s.tell(news.Fingerprint)
+		snapshot := s.snapshot(update.Fingerprint)
 		if q.OnQuarantine != nil {
-			tell = func() { q.OnQuarantine(told, held) }
+			notify = func() { q.OnQuarantine(snapshot, held) }
 		}
-	case before > 0 && len(s.ends) == 0 && q.OnRelease != nil:
-		tell = func() { q.OnRelease(news.Fingerprint) }
+	case exitsBefore > 0 && len(s.exits) == 0 && q.OnRelease != nil:
+		notify = func() { q.OnRelease(update.Fingerprint) }
 	}
-	return tell
+	return notify
 }
 
-// suspectLocked gives the entry of a request, a new one if it has none.
+// suspectLocked returns the suspect of a request, a new one if there is none.
 func (q *Quarantine) suspectLocked(now time.Time, f runworks.Fingerprint) *suspect {
 	if s := q.suspects[f]; s != nil {
 		return s
@@ -40,24 +40,24 @@
 	if q.suspects == nil {
 		q.suspects = make(map[runworks.Fingerprint]*suspect)
 	}
-	s := &suspect{ends: make(map[string]time.Time)}
+	s := &suspect{exits: make(map[string]time.Time)}
 	q.suspects[f] = s
-	q.known.Store(int64(len(q.suspects)))
+	q.count.Store(int64(len(q.suspects)))
 	return s
 }
 
-// pruneLocked forgets the requests of which nothing counts any more.
+// pruneLocked drops the suspects whose exits and clearing are too old.
 func (q *Quarantine) pruneLocked(now time.Time) {
 	for f, s := range q.suspects {
-		if now.Sub(later(s.last, s.cleared)) > q.keep() {
+		if now.Sub(later(s.lastExit, s.clearedAt)) > q.retention() {
 			delete(q.suspects, f)
 		}
 	}
-	q.known.Store(int64(len(q.suspects)))
+	q.count.Store(int64(len(q.suspects)))
 }
 
-// dropOldestLocked makes room for one more: of the suspects with the fewest ends the oldest
-// goes.
+// dropOldestLocked drops a suspect if there are too many: of those with the fewest exits the
+// oldest.
 func (q *Quarantine) dropOldestLocked() {
 	if len(q.suspects) < maxSuspects {
 		return
@@ -65,50 +65,50 @@
 	var drop runworks.Fingerprint
 	var oldest *suspect
 	for f, s := range q.suspects {
-		if oldest == nil || len(s.ends) < len(oldest.ends) || len(s.ends) == len(oldest.ends) && s.last.Before(oldest.last) {
+		if oldest == nil || len(s.exits) < len(oldest.exits) || len(s.exits) == len(oldest.exits) && s.lastExit.Before(oldest.lastExit) {
 			drop, oldest = f, s
 		}
 	}
 	delete(q.suspects, drop)
 }
 
-// add takes the ends and the clearing of a telling.
-func (s *suspect) add(now time.Time, news *runworks.Suspect) {
-	s.cleared = later(s.cleared, earlier(news.ClearedAt, now))
-	for _, e := range news.Exits[max(len(news.Exits)-maxEnds, 0):] {
-		if _, known := s.ends[e.Server]; !known {
-			// A writer whose clock is ahead must not hold the request for longer.
-			s.ends[e.Server] = earlier(e.At, now)
+// add merges the exits and the clearing of an update.
+func (s *suspect) add(now time.Time, update *runworks.Suspect) {
+	s.clearedAt = later(s.clearedAt, earlier(update.ClearedAt, now))
+	for _, e := range update.Exits[max(len(update.Exits)-maxExits, 0):] {
+		if _, known := s.exits[e.Server]; !known {
+			// A sender whose clock is ahead must not quarantine the request for longer.
+			s.exits[e.Server] = earlier(e.At, now)
 		}
 	}
-	s.last = time.Time{}
-	for server, at := range s.ends {
-		if !at.After(s.cleared) {
-			delete(s.ends, server)
+	s.lastExit = time.Time{}
+	for server, at := range s.exits {
+		if !at.After(s.clearedAt) {
+			delete(s.exits, server)
 			continue
 		}
-		s.last = later(s.last, at)
+		s.lastExit = later(s.lastExit, at)
 	}
-	if told := s.sortedEnds(); len(told) > maxEnds {
-		for _, e := range told[:len(told)-maxEnds] {
-			delete(s.ends, e.Server)
+	if sorted := s.sortedExits(); len(sorted) > maxExits {
+		for _, e := range sorted[:len(sorted)-maxExits] {
+			delete(s.exits, e.Server)
 		}
 	}
 }
 
-// sortedEnds gives the ends, the oldest first.
-func (s *suspect) sortedEnds() []runworks.ServerExit {
+// sortedExits returns the exits, the oldest first.
+func (s *suspect) sortedExits() []runworks.ServerExit {
 	var out []runworks.ServerExit
-	for server, at := range s.ends {
+	for server, at := range s.exits {
 		out = append(out, runworks.ServerExit{Server: server, At: at})
 	}
 	slices.SortFunc(out, func(a, b runworks.ServerExit) int { return a.At.Compare(b.At) })
 	return out
 }
 
-// tell gives what is known of a request, in the form that others are told.
-func (s *suspect) tell(f runworks.Fingerprint) runworks.Suspect {
-	return runworks.Suspect{Fingerprint: f, Exits: s.sortedEnds(), ClearedAt: s.cleared}
+// snapshot returns what is known of a request, in the form that is sent to others.
+func (s *suspect) snapshot(f runworks.Fingerprint) runworks.Suspect {
+	return runworks.Suspect{Fingerprint: f, Exits: s.sortedExits(), ClearedAt: s.clearedAt}
 }
 
 func later(a, b time.Time) time.Time {
--- a/services/quota/debit.go
+++ b/services/quota/debit.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Debit is a call's right to tokens of its customer's limit; a nil Debit needs none.
-// One call uses it, one method at a time.
+// Debit is a call's claim on tokens of its customer's limit. A nil Debit claims none. It belongs
+// to one call and is not safe for concurrent use.
 type Debit struct {
 	quota    *Quota
 	customer string
 	tokens   float64
-	// spent is when the call was sent first; zero while it waits.
-	spent time.Time
-	ended bool
+	// committedAt is when the call was first sent; zero while it waits.
+	committedAt time.Time
+	refunded    bool
 }
 
-// Tokens is what the call draws.
+// Tokens returns the tokens that the call is charged; 0 for a nil Debit.
 func (d *Debit) Tokens() float64 {
 	if d == nil {
 		return 0
@@ -21,41 +21,41 @@
 	return d.tokens
 }
 
-// Commit draws the tokens as the call is sent; a call that is sent again draws nothing
-// more.
+// Commit turns the reservation into consumption when the call is sent. Further sends of the same
+// call are not charged.
 func (d *Debit) Commit(now time.Time) {
-	if d == nil || d.ended || !d.spent.IsZero() {
+	if d == nil || d.refunded || !d.committedAt.IsZero() {
 		return
 	}
 	q := d.quota
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	d.spent = now
-	own := q.own()
-	a := own.of(d.customer)
-	a.held -= d.tokens
-	a.drawn += d.tokens
-	a.recent.add(q.number(now), d.tokens)
+	d.committedAt = now
+	own := q.ownIncarnation()
+	a := own.account(d.customer)
+	a.reserved -= d.tokens
+	a.consumed += d.tokens
+	a.recent.add(q.bucketAt(now), d.tokens)
 	own.version++
-	q.recorder.drew(d.customer, d.tokens)
+	q.recorder.consumed(d.customer, d.tokens)
 }
 
-// Refund gives the tokens of a call back that did not run.
+// Refund returns the tokens of a call that was not run, whether it was sent or still waits.
 func (d *Debit) Refund() {
-	if d == nil || d.ended {
+	if d == nil || d.refunded {
 		return
 	}
 	q := d.quota
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	d.ended = true
-	own := q.own()
+	d.refunded = true
+	own := q.ownIncarnation()
 	own.version++
-	a := own.of(d.customer)
-	if d.spent.IsZero() {
-		a.held -= d.tokens
+	a := own.account(d.customer)
+	if d.committedAt.IsZero() {
+		a.reserved -= d.tokens
 		return
 	}
-	a.drawn -= d.tokens
-	a.recent.removeAt(q.number(d.spent), d.tokens)
+	a.consumed -= d.tokens
+	a.recent.subtractAt(q.bucketAt(d.committedAt), d.tokens)
 }
--- a/services/quota/dedup.go
+++ b/services/quota/dedup.go
@@ -2,38 +2,39 @@
 
 import "github.com/runworks/runworks"
 
-// setOff takes out of what the record tells what the lives that are heard tell themselves.
-// An entry that starts beside young ones hears both, and would count these draws twice. The zero
-// value takes nothing out; it takes no lock.
-type setOff struct {
-	// recorded is what each life had drawn since its start as the record was written, and done
-	// what of it was taken out.
-	recorded, done map[runworks.Incarnation]map[string]float64
+// recordDedup subtracts from the record what live incarnations report themselves. An entry that
+// starts beside others that started recently gets both, and would count that consumption twice.
+// The zero value subtracts nothing; it is guarded by Quota's lock.
+type recordDedup struct {
+	// recorded is what each incarnation had consumed since its start when the record was written,
+	// and subtracted what of it was already subtracted.
+	recorded, subtracted map[runworks.Incarnation]map[string]float64
 }
 
-// take notes what a record tells of each life.
-func (s *setOff) take(drawn map[runworks.Incarnation]map[string]float64) {
-	s.recorded = drawn
-	s.done = make(map[runworks.Incarnation]map[string]float64, len(drawn))
-	for id := range drawn {
-		s.done[id] = make(map[string]float64)
+// setRecorded stores the record's figures of each incarnation.
+func (s *recordDedup) setRecorded(consumed map[runworks.Incarnation]map[string]float64) {
+	s.recorded = consumed
+	s.subtracted = make(map[runworks.Incarnation]map[string]float64, len(consumed))
+	for id := range consumed {
+		s.subtracted[id] = make(map[string]float64)
 	}
 }
 
-// told takes out of the record's life what another life tells of itself by now.
-func (s *setOff) told(id runworks.Incarnation, l, record *life) {
+// subtract removes from the record's incarnation what another incarnation has reported itself by
+// now.
+func (s *recordDedup) subtract(id runworks.Incarnation, inc, record *incarnation) {
 	if record == nil {
 		return
 	}
 	for customer, recorded := range s.recorded[id] {
-		a, from := l.accounts[customer], record.accounts[customer]
+		a, from := inc.accounts[customer], record.accounts[customer]
 		if a == nil || from == nil {
 			continue
 		}
-		done := s.done[id][customer]
-		if more := min(recorded, a.drawn) - done; more > 0 {
-			from.recent.remove(more)
-			s.done[id][customer] = done + more
+		done := s.subtracted[id][customer]
+		if remaining := min(recorded, a.consumed) - done; remaining > 0 {
+			from.recent.subtract(remaining)
+			s.subtracted[id][customer] = done + remaining
 		}
 	}
 }
--- a/services/quota/dedup_test.go
+++ b/services/quota/dedup_test.go
@@ -9,30 +9,30 @@
 	"github.com/runworks/runworks"
 )
 
-// TestRecordIsSetOff starts an entry beside one that is young itself: what that one drew
-// stands in the record, which adds all lives up, and comes by its own word. It counts once,
-// in whichever order record, greeting and heartbeats come. The life that is over, of which
-// only the record tells, counts on.
-func TestRecordIsSetOff(t *testing.T) {
+// TestRecordDedup starts an entry beside another one that started recently. What that one
+// consumed is in the record, which sums all incarnations, and in its own reports. It must count
+// once, in whichever order record, handshake and heartbeats arrive. The incarnation that is known
+// only from the record keeps counting.
+func TestRecordDedup(t *testing.T) {
 	later := begin.Add(200 * time.Millisecond)
 	for _, one := range []struct {
 		name  string
-		steps func(q, a *Quota, record *runworks.LimitRecord, early, all runworks.LimitUse)
+		steps func(q, a *Quota, record *runworks.LimitRecord, early, full runworks.LimitUse)
 	}{
-		{"record, then greeting", func(q, _ *Quota, record *runworks.LimitRecord, _, all runworks.LimitUse) {
+		{"record, then handshake", func(q, _ *Quota, record *runworks.LimitRecord, _, all runworks.LimitUse) {
 			q.ApplyRecord(later, record)
 			q.ApplyFullUse(later, "a", all)
 		}},
-		{"greeting, then record", func(q, _ *Quota, record *runworks.LimitRecord, _, all runworks.LimitUse) {
+		{"handshake, then record", func(q, _ *Quota, record *runworks.LimitRecord, _, all runworks.LimitUse) {
 			q.ApplyFullUse(later, "a", all)
 			q.ApplyRecord(later, record)
 		}},
-		{"early greeting, record, heartbeat", func(q, a *Quota, record *runworks.LimitRecord, early, _ runworks.LimitUse) {
+		{"early handshake, record, heartbeat", func(q, a *Quota, record *runworks.LimitRecord, early, _ runworks.LimitUse) {
 			q.ApplyFullUse(later, "a", early)
 			q.ApplyRecord(later, record)
 			q.ApplyUpdates(later, "a", a.Updates(later))
 		}},
-		{"record, early greeting, heartbeat", func(q, a *Quota, record *runworks.LimitRecord, early, _ runworks.LimitUse) {
+		{"record, early handshake, heartbeat", func(q, a *Quota, record *runworks.LimitRecord, early, _ runworks.LimitUse) {
 			q.ApplyRecord(later, record)
 			q.ApplyFullUse(later, "a", early)
 			q.ApplyUpdates(later, "a", a.Updates(later))
@@ -53,7 +53,7 @@
 			q := starting(later, "q")
 			one.steps(q, a, &record, early, a.FullUse(later))
 			is.Equal(q.Consumed(later)["yard"], 450.0)
-			// What it draws from then on counts as it is told.
+			// What it consumes from then on counts as it is reported.
 			now := later.Add(time.Second)
 			send(a, now, 200)
 			q.ApplyUpdates(now, "a", a.Updates(now))
@@ -62,26 +62,27 @@
 	}
 }
 
-// TestRecordOfTheCompleteIsShort names no lives where an entry has counted a whole window: a
-// new one asks that for its count.
-func TestRecordOfTheCompleteIsShort(t *testing.T) {
+// TestCompleteRecordIsShort checks that a record lists no incarnations once an entry has counted
+// a whole window: a new entry gets the state from that one.
+func TestCompleteRecordIsShort(t *testing.T) {
 	is := is.New(t)
 	a := running("a")
 	send(a, begin, 500)
 	is.Equal(len(a.Record(begin).Consumed), 0)
 }
 
-// TestRecordOfAnOldLife sets off only what the record counts of a life, not all that it drew
-// since its start: what is known of others by the record alone stays.
-func TestRecordOfAnOldLife(t *testing.T) {
+// TestRecordDedupOldIncarnation guards against subtracting all that an incarnation consumed since
+// its start instead of the part that the record counts: that would drop what is known of others
+// only from the record.
+func TestRecordDedupOldIncarnation(t *testing.T) {
 	is := is.New(t)
 	a := starting(begin, "a")
 	a.ApplyRecord(begin, nil)
-	a.ApplyUpdates(begin, "old", told(1, 9000, 200, 0))
-	a.ApplyUpdates(begin, "over", told(1, 500, 500, 0))
+	a.ApplyUpdates(begin, "old", reportedUse(1, 9000, 200, 0))
+	a.ApplyUpdates(begin, "over", reportedUse(1, 500, 500, 0))
 	record := a.Record(begin)
 	q := starting(begin, "q")
 	q.ApplyRecord(begin, &record)
-	q.ApplyUpdates(begin, "old", told(2, 9000, 200, 0))
+	q.ApplyUpdates(begin, "old", reportedUse(2, 9000, 200, 0))
 	is.Equal(q.Consumed(begin)["yard"], 700.0)
 }
--- a/services/quota/doc.go
+++ b/services/quota/doc.go
@@ -1,4 +1,4 @@
-// Package quota keeps the customers' limits in tokens over all entries: each counts
-// what it drew itself and what the others told. What was drawn before an entry's start
-// it learns from the others, or from a record that outlasts them all.
+// Package quota enforces the customers' token limits across all entries: each entry counts what
+// it consumed itself and what the others reported. An entry that starts learns what was consumed
+// before from the others, or from a stored record that survives them all.
 package quota
--- a/services/quota/incarnation.go
+++ b/services/quota/incarnation.go
@@ -7,106 +7,108 @@
 	"github.com/runworks/runworks"
 )
 
-// life is what one life of an entry used of the limits, this entry's own included.
-type life struct {
-	version int64
-	records int64
-	// heard is when it spoke last; zero if only others told of it, or a record, and for
-	// this entry's own.
-	heard time.Time
-	// over says that it draws nothing more.
-	over     bool
+// incarnation is what one incarnation of an entry used of the limits. This entry's own is one of
+// them.
+type incarnation struct {
+	version        int64
+	recordsWritten int64
+	// lastSeen is when its last message arrived; zero if it is known only through others or a
+	// record, and for this entry's own.
+	lastSeen time.Time
+	// ended means that it consumes nothing more.
+	ended    bool
 	accounts map[string]*account
 }
 
-// account is what a life used of one customer's limit.
+// account is what an incarnation used of one customer's limit, in tokens.
 type account struct {
-	recent usage
-	drawn  float64
-	held   float64
-	// told is when this entry told the others of it last, and toldDrawn and toldHeld
-	// what.
-	told                time.Time
-	toldDrawn, toldHeld float64
+	recent   usage
+	consumed float64
+	reserved float64
+	// reportedAt is when this entry last sent the account to the others, and reportedConsumed and
+	// reportedReserved what it sent.
+	reportedAt                         time.Time
+	reportedConsumed, reportedReserved float64
 }
 
-// untold is how much changed since the others were told.
-func (a *account) untold() float64 {
-	return math.Abs(a.drawn-a.toldDrawn) + math.Abs(a.held-a.toldHeld)
+// unreported returns how many tokens changed since the last report to the others.
+func (a *account) unreported() float64 {
+	return math.Abs(a.consumed-a.reportedConsumed) + math.Abs(a.reserved-a.reportedReserved)
 }
 
-func (l *life) of(customer string) *account {
-	if l.accounts == nil {
-		l.accounts = make(map[string]*account)
+func (inc *incarnation) account(customer string) *account {
+	if inc.accounts == nil {
+		inc.accounts = make(map[string]*account)
 	}
-	a := l.accounts[customer]
+	a := inc.accounts[customer]
 	if a == nil {
 		a = &account{}
-		l.accounts[customer] = a
+		inc.accounts[customer] = a
 	}
 	return a
 }
 
-// draws says whether another entry's life may go on drawing; this entry's own is never
-// heard.
-func (l *life) draws(now time.Time) bool {
-	return !l.over && !l.heard.IsZero() && now.Sub(l.heard) <= runworks.EntryTimeout
+// mayConsume reports whether another entry's incarnation may still consume. It is false for this
+// entry's own, which has no lastSeen.
+func (inc *incarnation) mayConsume(now time.Time) bool {
+	return !inc.ended && !inc.lastSeen.IsZero() && now.Sub(inc.lastSeen) <= runworks.EntryTimeout
 }
 
-// spendHeld counts as drawn what of the held tokens the life may have drawn unheard, and
-// lets go of the rest: as much as it drew in the last span of that many grains. All that
-// it held would be far too much in a burst, in which most of it waits for a server.
-func (l *life) spendHeld(number int64, span int) {
-	for _, a := range l.accounts {
-		if a.held > 0 {
-			a.recent.add(number, min(a.held, a.recent.last(span)))
-			a.held = 0
+// consumeReserved converts what the incarnation may have consumed of its reservations without
+// reporting it, at most what it consumed in the last span buckets, and drops the remainder.
+// Counting the whole reservation would be far too much in a burst, when most of it waits for a
+// server.
+func (inc *incarnation) consumeReserved(number int64, span int) {
+	for _, a := range inc.accounts {
+		if a.reserved > 0 {
+			a.recent.add(number, min(a.reserved, a.recent.last(span)))
+			a.reserved = 0
 		}
 	}
 }
 
-// sweep forgets what left the window; it says whether nothing is left.
-func (l *life) sweep(oldest int64) bool {
-	for customer, a := range l.accounts {
+// sweep drops what left the window and reports whether nothing remains.
+func (inc *incarnation) sweep(oldest int64) bool {
+	for customer, a := range inc.accounts {
 		a.recent.trim(oldest)
-		if len(a.recent.counts) == 0 && a.held == 0 {
-			delete(l.accounts, customer)
+		if len(a.recent.counts) == 0 && a.reserved == 0 {
+			delete(inc.accounts, customer)
 		}
 	}
-	return len(l.accounts) == 0
+	return len(inc.accounts) == 0
 }
 
-// update takes a heartbeat's word and tells drew of what is new in it. What was drawn
-// since the one before counts as drawn now; of a customer that was not counted yet that
-// is all in the teller's window.
-func (l *life) update(number int64, use *runworks.LimitUse, drew func(customer string, tokens float64)) {
-	for customer, told := range use.Customers {
-		known := l.accounts[customer] != nil
-		a := l.of(customer)
-		more := told.ConsumedInWindow
+// update applies a heartbeat and calls onConsumed with the tokens that are new in it. What was
+// consumed since the previous heartbeat is counted in the bucket number. For a customer without
+// an account that is the sender's whole window.
+func (inc *incarnation) update(number int64, use *runworks.LimitUse, onConsumed func(customer string, tokens float64)) {
+	for customer, reported := range use.Customers {
+		known := inc.accounts[customer] != nil
+		a := inc.account(customer)
+		added := reported.ConsumedInWindow
 		if known {
-			more = min(told.Consumed-a.drawn, told.ConsumedInWindow)
+			added = min(reported.Consumed-a.consumed, reported.ConsumedInWindow)
 		}
-		if more > 0 {
-			a.recent.add(number, more)
-			drew(customer, more)
+		if added > 0 {
+			a.recent.add(number, added)
+			onConsumed(customer, added)
 		} else {
-			a.recent.remove(-more)
+			a.recent.subtract(-added)
 		}
-		a.drawn, a.held = told.Consumed, told.Reserved
+		a.consumed, a.reserved = reported.Consumed, reported.Reserved
 	}
-	l.version = use.Version
+	inc.version = use.Version
 }
 
-// replace takes a whole state's word, with the times of the draws.
-func (l *life) replace(numberAt func(age time.Duration) int64, use *runworks.LimitUse) {
-	l.accounts = make(map[string]*account, len(use.Customers))
-	for customer, told := range use.Customers {
-		a := l.of(customer)
-		a.drawn, a.held = told.Consumed, told.Reserved
-		for _, r := range told.Recent {
-			a.recent.add(numberAt(time.Duration(r.AgeMs)*time.Millisecond), r.Tokens)
+// replace sets the accounts to a full use, which has the times of the consumption.
+func (inc *incarnation) replace(bucketAt func(age time.Duration) int64, use *runworks.LimitUse) {
+	inc.accounts = make(map[string]*account, len(use.Customers))
+	for customer, reported := range use.Customers {
+		a := inc.account(customer)
+		a.consumed, a.reserved = reported.Consumed, reported.Reserved
+		for _, r := range reported.Recent {
+			a.recent.add(bucketAt(time.Duration(r.AgeMs)*time.Millisecond), r.Tokens)
 		}
 	}
-	l.version = use.Version
+	inc.version = use.Version
 }
--- a/services/quota/lag_test.go
+++ b/services/quota/lag_test.go
@@ -11,10 +11,10 @@
 	"github.com/runworks/runworks"
 )
 
-// overdrawn plays a customer that asks many times its limit of many entries, which hear
-// of each other a heartbeat later, and gives the most that it drew in a window, as a part of
-// its limit.
-func overdrawn(entries int, beat time.Duration, asked float64, seed uint64) float64 {
+// maxConsumed simulates a customer that requests many times its limit at many entries, which
+// learn of each other's use one heartbeat later. It returns the most that the customer consumed
+// in a window, as a multiple of its limit.
+func maxConsumed(entries int, heartbeat time.Duration, requested float64, seed uint64) float64 {
 	const (
 		step = 5 * time.Millisecond
 		span = 12 * time.Second
@@ -26,33 +26,33 @@
 	for i := range all {
 		all[i] = running(runworks.Incarnation(fmt.Sprint(i)))
 	}
-	type draw struct {
+	type sentCall struct {
 		at     time.Duration
 		tokens float64
 	}
-	var draws []draw
+	var sentCalls []sentCall
 	most := 0.0
 	for at := time.Duration(0); at < span; at += step {
 		now := begin.Add(at)
-		for calls := asked * step.Seconds() / call; calls > rng.Float64(); calls-- {
+		for calls := requested * step.Seconds() / call; calls > rng.Float64(); calls-- {
 			size := call * rng.ExpFloat64()
 			if v := all[rng.IntN(entries)].Reserve(now, c, size); v.Wait == 0 {
 				v.Debit.Commit(now)
-				draws = append(draws, draw{at: at, tokens: size})
+				sentCalls = append(sentCalls, sentCall{at: at, tokens: size})
 			}
 		}
 		for i, q := range all {
-			if (at/step+time.Duration(i))%(beat/step) == 0 {
-				news := q.Updates(now)
+			if (at/step+time.Duration(i))%(heartbeat/step) == 0 {
+				updates := q.Updates(now)
 				for _, other := range all {
 					if other != q {
-						other.ApplyUpdates(now, q.Self, news)
+						other.ApplyUpdates(now, q.Self, updates)
 					}
 				}
 			}
 		}
 		sum := 0.0
-		for _, d := range draws {
+		for _, d := range sentCalls {
 			if d.at > at-DefaultWindow {
 				sum += d.tokens
 			}
@@ -62,13 +62,13 @@
 	return most / (c.TokensPerSecond*DefaultWindow.Seconds() + c.TokenBurst)
 }
 
-// TestLimitHoldsInAHurry bounds what many entries together let through of a customer that
-// asks four times its limit.
-func TestLimitHoldsInAHurry(t *testing.T) {
+// TestLimitUnderOverload bounds what many entries together admit of a customer that requests
+// about four times its limit.
+func TestLimitUnderOverload(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(3) {
-		part := overdrawn(27, 150*time.Millisecond, 1_400_000, seed)
-		t.Logf("%.3f of the limit", part)
-		is.True(part < 1.025)
+		used := maxConsumed(27, 150*time.Millisecond, 1_400_000, seed)
+		t.Logf("%.3f of the limit", used)
+		is.True(used < 1.025)
 	}
 }
--- a/services/quota/oracle_test.go
+++ b/services/quota/oracle_test.go
@@ -10,74 +10,74 @@
 	"github.com/runworks/runworks"
 )
 
-// ran is a call that was sent, for the oracle.
-type ran struct {
+// sentCall is a call that was sent, for the oracle.
+type sentCall struct {
 	at     time.Time
 	tokens float64
 }
 
-// fleet is entries that share a limit, with the oracle's record of what ran.
-type fleet struct {
+// cluster is a set of entries that share a limit, with the oracle's record of the calls sent.
+type cluster struct {
 	now     time.Time
 	entries map[string]*Quota
-	lives   int
+	starts  int
 	waiting map[string][]Decision
 	record  *runworks.LimitRecord
-	// ran is all that ran. Of it untold is what its entry told nobody, by entry, unheard
-	// what it told as waiting and then sent, and unrecorded what the last record lacks;
-	// lost is what nobody knows any more.
-	ran        []ran
-	untold     map[string]float64
-	unheard    map[string]float64
-	unrecorded []ran
-	lost       []ran
-	mostUntold float64
+	// sent is all calls that were sent. Of their tokens, by entry, unreported is what the entry
+	// reported to nobody and sentAfterReport what it reported as reserved and sent later;
+	// unrecorded is what the last record lacks, and lost what no entry knows any more.
+	sent            []sentCall
+	unreported      map[string]float64
+	sentAfterReport map[string]float64
+	unrecorded      []sentCall
+	lost            []sentCall
+	maxUnreported   float64
 }
 
-var fleetNames = []string{"a", "b", "c"}
+var entryNames = []string{"a", "b", "c"}
 
-// start begins a new life of an entry.
-func (f *fleet) start(name string) *Quota {
-	f.lives++
-	q := starting(f.now, runworks.Incarnation(fmt.Sprint(name, f.lives)))
+// start starts a new incarnation of an entry.
+func (f *cluster) start(name string) *Quota {
+	f.starts++
+	q := starting(f.now, runworks.Incarnation(fmt.Sprint(name, f.starts)))
 	f.entries[name] = q
-	f.waiting[name], f.untold[name], f.unheard[name] = nil, 0, 0
+	f.waiting[name], f.unreported[name], f.sentAfterReport[name] = nil, 0, 0
 	return q
 }
 
-// take has a call arrive at an entry; it is sent at once, or waits.
-func (f *fleet) take(name string, tokens float64, waits bool) {
+// take has a call arrive at an entry. It is sent at once, or waits.
+func (f *cluster) take(name string, tokens float64, waits bool) {
 	v := f.entries[name].Reserve(f.now, customer(), tokens)
 	switch {
 	case v.Wait > 0:
 	case waits:
 		f.waiting[name] = append(f.waiting[name], v)
-		f.note(name, tokens)
+		f.countUnreported(name, tokens)
 	default:
-		f.spend(v)
-		f.note(name, tokens)
+		f.commit(v)
+		f.countUnreported(name, tokens)
 	}
 }
 
-func (f *fleet) spend(v Decision) {
+func (f *cluster) commit(v Decision) {
 	v.Debit.Commit(f.now)
-	one := ran{f.now, v.Debit.Tokens()}
-	f.ran = append(f.ran, one)
+	one := sentCall{f.now, v.Debit.Tokens()}
+	f.sent = append(f.sent, one)
 	f.unrecorded = append(f.unrecorded, one)
 }
 
-// note counts what the others do not know of yet.
-func (f *fleet) note(name string, tokens float64) {
-	f.untold[name] += tokens
+// countUnreported counts what the others do not know yet.
+func (f *cluster) countUnreported(name string, tokens float64) {
+	f.unreported[name] += tokens
 	sum := 0.0
-	for _, n := range f.untold {
+	for _, n := range f.unreported {
 		sum += n
 	}
-	f.mostUntold = max(f.mostUntold, sum)
+	f.maxUnreported = max(f.maxUnreported, sum)
 }
 
-// tell lets all entries hear what the others use.
-func (f *fleet) tell() {
+// exchange sends each entry's updates to all others.
+func (f *cluster) exchange() {
 	for name, from := range f.entries {
 		use := from.Updates(f.now)
 		for _, to := range f.entries {
@@ -85,23 +85,24 @@
 				to.ApplyUpdates(f.now, from.Self, use)
 			}
 		}
-		f.untold[name], f.unheard[name] = 0, 0
+		f.unreported[name], f.sentAfterReport[name] = 0, 0
 	}
 }
 
-// restart ends some entries at once and starts them anew. Those that live on greet them.
-func (f *fleet) restart(names []string) {
+// restart kills some entries at once and starts them again. Those that stay up do the handshake
+// with them.
+func (f *cluster) restart(names []string) {
 	dead := make([]runworks.Incarnation, 0, len(names))
 	for _, name := range names {
 		dead = append(dead, f.entries[name].Self)
-		f.lost = append(f.lost, ran{f.now, f.untold[name] + f.unheard[name]})
+		f.lost = append(f.lost, sentCall{f.now, f.unreported[name] + f.sentAfterReport[name]})
 		delete(f.entries, name)
 	}
 	old := make([]*Quota, 0, len(f.entries))
 	for _, q := range f.entries {
 		old = append(old, q)
-		for _, life := range dead {
-			q.EndIncarnation(f.now, life)
+		for _, id := range dead {
+			q.EndIncarnation(f.now, id)
 		}
 	}
 	if len(old) == 0 {
@@ -118,16 +119,16 @@
 	}
 }
 
-// write puts the state of an entry on record, after all told each other.
-func (f *fleet) write(name string) {
-	f.tell()
+// writeRecord writes the state of an entry to the record, after all have exchanged updates.
+func (f *cluster) writeRecord(name string) {
+	f.exchange()
 	record := f.entries[name].Record(f.now)
 	f.entries[name].RecordWritten(true)
 	f.record, f.unrecorded = &record, nil
 }
 
-// inWindow is what ran in the window before now.
-func (f *fleet) inWindow(list []ran) float64 {
+// inWindow returns the tokens of a list that were consumed in the window before now.
+func (f *cluster) inWindow(list []sentCall) float64 {
 	sum := 0.0
 	for _, one := range list {
 		if f.now.Sub(one.at) < 8*time.Second {
@@ -137,35 +138,35 @@
 	return sum
 }
 
-// TestEntriesShareOneLimit plays entries that tell each other at random times what they
-// drew, whose calls wait, run or are given up, and which end without a word, alone or
-// all at once, and start anew. The oracle counts what ran in every window: never more
-// than the limit, what entries had not yet told each other, and what was lost with them.
+// TestEntriesShareOneLimit runs entries that exchange at random times what they consumed, whose
+// calls wait, are sent or are abandoned, and which are killed alone or all at once and restarted.
+// In no window may more be sent than the limit, what entries had not reported yet, and what was
+// lost with them.
 func TestEntriesShareOneLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := customer()
-		f := &fleet{now: begin, entries: map[string]*Quota{}, waiting: map[string][]Decision{}, untold: map[string]float64{}, unheard: map[string]float64{}}
-		for _, name := range fleetNames {
+		f := &cluster{now: begin, entries: map[string]*Quota{}, waiting: map[string][]Decision{}, unreported: map[string]float64{}, sentAfterReport: map[string]float64{}}
+		for _, name := range entryNames {
 			f.start(name).ApplyRecord(f.now, nil)
 		}
-		f.tell()
+		f.exchange()
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			name := rapid.SampledFrom(fleetNames).Draw(t, "entry")
+			name := rapid.SampledFrom(entryNames).Draw(t, "entry")
 			switch rapid.IntRange(0, 19).Draw(t, "action") {
 			case 0:
 				f.restart([]string{name})
 			case 1:
-				f.restart(fleetNames)
+				f.restart(entryNames)
 			case 2, 3:
-				f.write(name)
+				f.writeRecord(name)
 			case 4, 5, 6:
-				f.tell()
+				f.exchange()
 			case 7, 8:
 				if w := f.waiting[name]; len(w) > 0 {
 					f.waiting[name] = w[1:]
-					f.spend(w[0])
-					f.unheard[name] += w[0].Debit.Tokens()
+					f.commit(w[0])
+					f.sentAfterReport[name] += w[0].Debit.Tokens()
 				}
 			case 9:
 				if w := f.waiting[name]; len(w) > 0 {
@@ -176,8 +177,8 @@
 				f.take(name, float64(rapid.IntRange(1, 300).Draw(t, "tokens")), rapid.Bool().Draw(t, "waits"))
 			}
 			limit := c.TokensPerSecond*8 + c.TokenBurst
-			allowed := limit*(1+tellPart) + f.mostUntold + f.inWindow(f.lost)
-			if sum := f.inWindow(f.ran); sum > allowed {
+			allowed := limit*(1+updateFraction) + f.maxUnreported + f.inWindow(f.lost)
+			if sum := f.inWindow(f.sent); sum > allowed {
 				t.Fatalf("%.0f tokens in 8 s, %.0f allowed, of them %.0f lost", sum, allowed, f.inWindow(f.lost))
 			}
 		}
--- a/services/quota/quota.go
+++ b/services/quota/quota.go
@@ -8,135 +8,137 @@
 )
 
 const (
-	// UnreachableAfter is when an entry that said nothing counts as out of touch: some
-	// reports must have been missed.
+	// UnreachableAfter is how long after its last message an entry is considered unreachable. By
+	// then several heartbeats are missing.
 	UnreachableAfter = time.Second
-	// StateTimeout is how long a new entry waits to be told what was drawn before its
-	// start: some times what a record or another entry takes to be reached.
+	// StateTimeout is how long a new entry waits to learn what was consumed before its start:
+	// several times what it takes to reach the store or another entry.
 	StateTimeout = 2 * time.Second
-	// untoldWait is when a caller comes back at the soonest that was refused before that.
-	untoldWait = 100 * time.Millisecond
-	// minMissing is how much of the window must be missing for another entry's count to be
-	// worth asking for. Where all entries start at once, the first that has counted a whole
-	// window would be asked by all others, which have counted theirs a moment later: a
-	// hundred states of some MB kept a small host from its calls for more than three seconds.
+	// notReadyWait is the shortest Retry-After of a call that is refused before that.
+	notReadyWait = 100 * time.Millisecond
+	// minMissing is the part of the window that must be missing for another entry's state to be
+	// worth requesting. When all entries start together, all would otherwise request the state of
+	// the first that completes its window, a moment before they complete theirs: a hundred states
+	// of some MB kept a small host from serving calls for more than three seconds.
 	minMissing = 2 * time.Second
-	// rateSpan is the span, in grains, from which is told how fast an entry draws.
+	// rateSpan is the number of buckets over which an entry's rate of consumption is measured.
 	rateSpan = 5
 	// DefaultWindow is the span over which a limit is counted.
 	DefaultWindow = 8 * time.Second
 )
 
-// Quota counts what the customers used of late at all entries; set the exported
-// fields before use. A limit lets through, in any window, its rate times the window
-// and its burst.
+// Quota counts what the customers consumed recently at all entries. Set the exported fields
+// before use. In any window a limit admits its rate times the window, plus its burst.
 //
-// A call holds its tokens while it waits and draws them when it is sent: tokens that
-// counted from its arrival on and were given back later would leave the window as a
-// credit. What an entry drew is told by its life, so that it counts once whoever tells
-// it, and a new life goes on with what the others count: a customer would get its limit
-// again from each entry that begins at zero.
+// A call reserves its tokens while it waits and consumes them when it is sent. If they counted
+// from its arrival and were refunded later, they would leave the window as a credit. Consumption
+// is reported per incarnation, so that it counts once whoever reports it. A new incarnation
+// continues from what the others count: starting at zero, each restarted entry would grant the
+// customer its limit again.
 type Quota struct {
-	// Self names this entry's life to the others.
+	// Self identifies this entry's incarnation to the others.
 	Self runworks.Incarnation
-	// Window is DefaultWindow if zero.
+	// Window is the span over which limits are counted; 0 means DefaultWindow.
 	Window time.Duration
 	// Started is when this entry began to count.
 	Started time.Time
 
 	mu sync.Mutex
-	// epoch is where the numbers of grains begin.
-	epoch time.Time
-	lives map[runworks.Incarnation]*life
-	// told says that what was drawn before the start is known, and complete that
-	// somebody told it who counted a whole window.
-	told, complete bool
-	swept          time.Time
-	recorder       recorder
-	setOff         setOff
+	// epoch is the start of bucket 0.
+	epoch        time.Time
+	incarnations map[runworks.Incarnation]*incarnation
+	// ready means that what was consumed before the start is known, and complete that it came
+	// from an entry that counted a whole window.
+	ready, complete bool
+	sweptAt         time.Time
+	recorder        recorder
+	dedup           recordDedup
 }
 
-// Decision says whether a call is inside a customer's limit, and why.
+// Decision is the result of Reserve: whether a call is within its customer's limit, and the
+// figures behind it.
 type Decision struct {
-	// Wait is how long until the limit has room; 0 lets the call pass.
+	// Wait is how long until the limit has enough tokens; 0 admits the call.
 	Wait time.Duration
-	// NotReady says that the entry does not know yet what was drawn before its start.
+	// NotReady means that the entry does not know yet what was consumed before its start.
 	NotReady bool
-	// Consumed is what was drawn in the window before the call, in tokens, Reserved what is set
-	// aside for calls that wait, and Assumed what may have been drawn unheard or unrecorded.
+	// Consumed is what was consumed in the window before the call, in tokens, Reserved what is
+	// reserved for waiting calls, and Assumed an estimate of what was consumed but not reported
+	// or recorded.
 	Consumed, Reserved, Assumed float64
-	// Allowed is what the limit lets through in a window.
+	// Allowed is what the limit admits in a window, in tokens.
 	Allowed float64
-	// OtherEntries is how many other entries' words are counted in.
+	// OtherEntries is how many other entries share the limit.
 	OtherEntries int
-	// Debit is the right of a call that passes; nil where no limit holds.
+	// Debit is the claim of an admitted call; nil where no limit applies.
 	Debit *Debit
 }
 
-// Reserve sets the tokens of a call aside on the customer's limit, if it has room.
+// Reserve reserves a call's tokens on the limit of customer c if it has enough. A nil customer or
+// one without a rate has no limit.
 func (q *Quota) Reserve(now time.Time, c *runworks.RoutedCustomer, tokens float64) Decision {
 	if c == nil || c.TokensPerSecond <= 0 {
 		return Decision{}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.toldLocked(now) {
-		// A record that can be read was read while the call was held: what lasts longer
-		// lasts until the limit opens by itself, and callers who came back before would use
-		// their tries up.
-		return Decision{NotReady: true, Wait: max(untoldWait, q.Started.Add(StateTimeout).Sub(now))}
+	if !q.readyLocked(now) {
+		// A readable record was read while the call was held, so what takes longer lasts until
+		// StateTimeout. Callers with a shorter Retry-After would use up their attempts before.
+		return Decision{NotReady: true, Wait: max(notReadyWait, q.Started.Add(StateTimeout).Sub(now))}
 	}
-	total, held := q.total(now, c.Name)
-	v := Decision{Consumed: total.sum(), Reserved: held, Allowed: q.allowed(now, c)}
+	total, reserved := q.total(now, c.Name)
+	v := Decision{Consumed: total.sum(), Reserved: reserved, Allowed: q.allowed(now, c)}
 	v.Assumed, v.OtherEntries = q.assumed(now, c.TokensPerSecond)
-	v.Assumed += q.underWay(now, c.Name)
+	v.Assumed += q.inTransit(now, c.Name)
 	if !q.completeLocked(now) && v.Consumed+v.Reserved > 0 {
-		// What was drawn behind the last record: as much as the rate gives until the next.
+		// What was consumed after the last record: up to the rate times the record interval.
 		v.Assumed += c.TokensPerSecond * RecordInterval.Seconds()
 	}
-	q.recorder.met(c.Name, &v)
-	// A call larger than the whole limit passes when nothing else was drawn.
+	q.recorder.observe(c.Name, &v)
+	// A call larger than the whole limit is admitted when nothing else was consumed.
 	if over := v.Consumed + v.Reserved + v.Assumed + min(tokens, v.Allowed) - v.Allowed; over > 0 {
-		v.Wait = q.until(now, total, over)
+		v.Wait = q.waitFor(now, total, over)
 		return v
 	}
-	a := q.own().of(c.Name)
-	a.held += tokens
-	q.own().version++
+	a := q.ownIncarnation().account(c.Name)
+	a.reserved += tokens
+	q.ownIncarnation().version++
 	v.Debit = &Debit{quota: q, customer: c.Name, tokens: tokens}
 	return v
 }
 
-// Ready says whether this entry knows what was drawn before its start, or waited for
-// it long enough.
+// Ready reports whether this entry knows what was consumed before its start, or waited
+// StateTimeout for it.
 func (q *Quota) Ready(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.toldLocked(now)
+	return q.readyLocked(now)
 }
 
-func (q *Quota) toldLocked(now time.Time) bool {
-	return q.told || now.Sub(q.Started) >= StateTimeout
+func (q *Quota) readyLocked(now time.Time) bool {
+	return q.ready || now.Sub(q.Started) >= StateTimeout
 }
 
-// allowed is what a limit lets through in the window before now. An entry that nobody
-// told of what was drawn before its start opens the limit from there on at its rate.
+// allowed returns what a limit admits in the window before now. An entry that did not learn what
+// was consumed before its start opens the limit from there on at its rate.
 func (q *Quota) allowed(now time.Time, c *runworks.RoutedCustomer) float64 {
 	counted := now.Sub(q.Started)
-	if q.told || counted >= q.window() {
+	if q.ready || counted >= q.window() {
 		return c.TokensPerSecond*q.window().Seconds() + c.TokenBurst
 	}
 	return c.TokensPerSecond * counted.Seconds()
 }
 
-// total adds up what all lives drew in the window, and what they hold.
+// total returns the sum of what all incarnations consumed in the window, and of what they
+// reserve.
 func (q *Quota) total(now time.Time, customer string) (*usage, float64) {
-	oldest := q.oldest(now)
-	// The counts begin at the oldest grain, whichever life comes first.
+	oldest := q.oldestBucket(now)
+	// The buckets start at the oldest one, in whichever order the incarnations are read.
 	sum := &usage{first: oldest, counts: []float64{0}}
-	held := 0.0
-	for _, l := range q.lives {
-		a := l.accounts[customer]
+	reserved := 0.0
+	for _, inc := range q.incarnations {
+		a := inc.accounts[customer]
 		if a == nil {
 			continue
 		}
@@ -144,74 +146,75 @@
 		for i, n := range a.recent.counts {
 			sum.add(a.recent.first+int64(i), n)
 		}
-		held += a.held
+		reserved += a.reserved
 	}
-	return sum, held
+	return sum, reserved
 }
 
-// until gives how long it takes until that many tokens have left the window.
-func (q *Quota) until(now time.Time, total *usage, tokens float64) time.Duration {
+// waitFor returns how long it takes until that many tokens have left the window.
+func (q *Quota) waitFor(now time.Time, total *usage, tokens float64) time.Duration {
 	for i, n := range total.counts {
 		if tokens -= n; tokens <= 0 {
-			leaves := q.epoch.Add(time.Duration(total.first+int64(i)+1)*grain + q.window())
-			return max(leaves.Sub(now), grain)
+			leaves := q.epoch.Add(time.Duration(total.first+int64(i)+1)*bucketWidth + q.window())
+			return max(leaves.Sub(now), bucketWidth)
 		}
 	}
 	return q.window()
 }
 
-// assumed is what entries out of touch may have drawn since they were heard, and how many
-// other entries there are: each keeps to an equal part of the rate when it hears nobody.
+// assumed returns an estimate of what unreachable entries consumed since they were last seen, and
+// the number of other entries. An entry that reaches no other keeps to an equal share of the
+// rate.
 func (q *Quota) assumed(now time.Time, rate float64) (float64, int) {
-	silent := 0.0
-	for _, l := range q.lives {
-		if quiet := now.Sub(l.heard); l.draws(now) && quiet > UnreachableAfter {
-			silent += min(quiet, q.window()).Seconds()
+	unreachable := 0.0
+	for _, inc := range q.incarnations {
+		if silence := now.Sub(inc.lastSeen); inc.mayConsume(now) && silence > UnreachableAfter {
+			unreachable += min(silence, q.window()).Seconds()
 		}
 	}
-	heard := q.heard(now)
-	return rate / float64(heard+1) * silent, heard
+	others := q.otherEntries(now)
+	return rate / float64(others+1) * unreachable, others
 }
 
-// underWay is what the other entries have drawn since they spoke last, if they go on as in
-// the half second before. Without it a customer that asks for far more than its limit would
-// draw beyond it what all entries take between two heartbeats.
-func (q *Quota) underWay(now time.Time, customer string) float64 {
+// inTransit returns an estimate of what the other entries consumed since their last heartbeat,
+// from their rate in the last rateSpan buckets. Without it a customer that requests far more than
+// its limit would exceed it by all that the entries consume between two heartbeats.
+func (q *Quota) inTransit(now time.Time, customer string) float64 {
 	sum := 0.0
-	from := q.number(now) - rateSpan
-	for _, l := range q.lives {
-		quiet := now.Sub(l.heard)
-		if a := l.accounts[customer]; a != nil && l.draws(now) && quiet <= UnreachableAfter {
-			sum += a.recent.since(from) / rateSpan * float64(quiet) / float64(grain)
+	from := q.bucketAt(now) - rateSpan
+	for _, inc := range q.incarnations {
+		silence := now.Sub(inc.lastSeen)
+		if a := inc.accounts[customer]; a != nil && inc.mayConsume(now) && silence <= UnreachableAfter {
+			sum += a.recent.since(from) / rateSpan * float64(silence) / float64(bucketWidth)
 		}
 	}
 	return sum
 }
 
-// heard gives how many other entries may draw.
-func (q *Quota) heard(now time.Time) int {
+// otherEntries returns how many other entries may consume.
+func (q *Quota) otherEntries(now time.Time) int {
 	n := 0
-	for _, l := range q.lives {
-		if l.draws(now) {
+	for _, inc := range q.incarnations {
+		if inc.mayConsume(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// completeLocked says whether nothing of the window is missing here.
+// completeLocked reports whether nothing of the window is missing here.
 func (q *Quota) completeLocked(now time.Time) bool {
 	return q.complete || now.Sub(q.Started) >= q.window()
 }
 
-// Consumed gives what is counted in the window before now, of all entries, by customer.
+// Consumed returns the tokens that all entries consumed in the window before now, by customer.
 func (q *Quota) Consumed(now time.Time) map[string]float64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	oldest := q.oldest(now)
+	oldest := q.oldestBucket(now)
 	out := make(map[string]float64)
-	for _, l := range q.lives {
-		for customer, a := range l.accounts {
+	for _, inc := range q.incarnations {
+		for customer, a := range inc.accounts {
 			a.recent.trim(oldest)
 			if sum := a.recent.sum(); sum > 0 {
 				out[customer] += sum
@@ -228,36 +231,35 @@
 	return q.Window
 }
 
-// number gives the grain that a time falls in.
-func (q *Quota) number(at time.Time) int64 {
+// bucketAt returns the number of the bucket that a time falls in.
+func (q *Quota) bucketAt(at time.Time) int64 {
 	if q.epoch.IsZero() {
 		q.epoch = at
 	}
 	since := at.Sub(q.epoch)
-	number := int64(since / grain)
-	if since < 0 && since%grain != 0 {
+	number := int64(since / bucketWidth)
+	if since < 0 && since%bucketWidth != 0 {
 		number--
 	}
 	return number
 }
 
-// oldest gives the first grain of the window before now.
-func (q *Quota) oldest(now time.Time) int64 {
-	q.number(now) // sets the epoch
-	return q.number(now.Add(-q.window()))
+// oldestBucket returns the number of the first bucket of the window before now.
+func (q *Quota) oldestBucket(now time.Time) int64 {
+	q.bucketAt(now) // sets the epoch
+	return q.bucketAt(now.Add(-q.window()))
 }
 
-// own gives this entry's life.
-func (q *Quota) own() *life { return q.of(q.Self) }
+func (q *Quota) ownIncarnation() *incarnation { return q.incarnation(q.Self) }
 
-func (q *Quota) of(id runworks.Incarnation) *life {
-	if q.lives == nil {
-		q.lives = make(map[runworks.Incarnation]*life)
+func (q *Quota) incarnation(id runworks.Incarnation) *incarnation {
+	if q.incarnations == nil {
+		q.incarnations = make(map[runworks.Incarnation]*incarnation)
 	}
-	l := q.lives[id]
-	if l == nil {
-		l = &life{}
-		q.lives[id] = l
+	inc := q.incarnations[id]
+	if inc == nil {
+		inc = &incarnation{}
+		q.incarnations[id] = inc
 	}
-	return l
+	return inc
 }
--- a/services/quota/quota_test.go
+++ b/services/quota/quota_test.go
@@ -11,7 +11,7 @@
 	"github.com/runworks/runworks"
 )
 
-// CI gives the same verdict every run; -rapid.seed on the command line goes first.
+// CI uses a fixed seed for a reproducible result; -rapid.seed on the command line overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -20,30 +20,30 @@
 	return &runworks.RoutedCustomer{Name: "yard", TokensPerSecond: 100, TokenBurst: 200}
 }
 
-// running gives one that has counted for an hour.
+// running returns a Quota that has counted for an hour.
 func running(self runworks.Incarnation) *Quota {
 	return &Quota{Self: self, Window: 8 * time.Second, Started: begin.Add(-time.Hour)}
 }
 
-// starting gives one that starts now.
+// starting returns a Quota that starts now.
 func starting(now time.Time, self runworks.Incarnation) *Quota {
 	return &Quota{Self: self, Window: 8 * time.Second, Started: now}
 }
 
-// send takes tokens for a call and sends it at once, if it passes.
+// send reserves tokens for a call and sends it at once, if it is admitted.
 func send(q *Quota, now time.Time, tokens float64) Decision {
 	v := q.Reserve(now, customer(), tokens)
 	v.Debit.Commit(now)
 	return v
 }
 
-// told is what an entry tells of its use of the customer's limit.
-func told(version int64, drawn, used, held float64) runworks.LimitUse {
-	return runworks.LimitUse{Version: version, Customers: map[string]runworks.CustomerUse{"yard": {Consumed: drawn, ConsumedInWindow: used, Reserved: held}}}
+// reportedUse returns an entry's report of its use of the customer's limit.
+func reportedUse(version int64, consumed, inWindow, reserved float64) runworks.LimitUse {
+	return runworks.LimitUse{Version: version, Customers: map[string]runworks.CustomerUse{"yard": {Consumed: consumed, ConsumedInWindow: inWindow, Reserved: reserved}}}
 }
 
-// TestWindow lets through the rate times the window and the burst, once in any
-// window, and says how long to wait.
+// TestWindow checks that the rate times the window plus the burst is admitted once in any window,
+// and how long a call must wait then.
 func TestWindow(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
@@ -51,32 +51,32 @@
 		is.Equal(send(q, begin, 100).Wait, time.Duration(0))
 	}
 	v := send(q, begin, 100)
-	is.Equal(v.Wait, 8*time.Second+grain) // 1,000 of 100 x 8 + 200 are drawn
+	is.Equal(v.Wait, 8*time.Second+bucketWidth) // 1,000 of 100 x 8 + 200 are consumed
 	is.Equal(v.Consumed, 1000.0)
 	is.Equal(send(q, begin.Add(v.Wait+time.Millisecond), 100).Wait, time.Duration(0))
 }
 
-// TestWaitOverLives tells how long to wait until the oldest draw leaves the window,
-// whichever entry drew it.
-func TestWaitOverLives(t *testing.T) {
+// TestWaitAcrossIncarnations checks the wait until the oldest consumption leaves the window,
+// whichever entry consumed it.
+func TestWaitAcrossIncarnations(t *testing.T) {
 	is := is.New(t)
-	for range 20 { // the order of lives is random
+	for range 20 { // the order of incarnations is random
 		q := running("self")
-		q.ApplyUpdates(begin, "other", told(1, 500, 500, 0))
-		q.ApplyUpdates(begin.Add(5*time.Second), "other", told(1, 500, 500, 0)) // still there
+		q.ApplyUpdates(begin, "other", reportedUse(1, 500, 500, 0))
+		q.ApplyUpdates(begin.Add(5*time.Second), "other", reportedUse(1, 500, 500, 0)) // unchanged
 		send(q, begin.Add(5*time.Second), 500)
 		now := begin.Add(6 * time.Second)
-		q.ApplyUpdates(now, "other", told(1, 500, 500, 0))
-		is.Equal(send(q, now, 100).Wait, 2*time.Second+grain)
+		q.ApplyUpdates(now, "other", reportedUse(1, 500, 500, 0))
+		is.Equal(send(q, now, 100).Wait, 2*time.Second+bucketWidth)
 		for _, r := range q.Record(now).Use.Customers["yard"].Recent {
 			is.True(r.AgeMs == 1000 || r.AgeMs > 5000)
 		}
 	}
 }
 
-// TestWaitingCallsHold counts what calls that wait will draw, and draws it when they
-// are sent.
-func TestWaitingCallsHold(t *testing.T) {
+// TestWaitingCallsReserve checks that waiting calls reserve their tokens and consume them when
+// they are sent.
+func TestWaitingCallsReserve(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
 	first := q.Reserve(begin, customer(), 600)
@@ -89,18 +89,18 @@
 	is.True(v.Wait > 0)
 	is.Equal(v.Consumed, 600.0)
 	is.Equal(v.Reserved, 0.0)
-	first.Debit.Refund() // turned away in the end
+	first.Debit.Refund() // rejected by the server
 	is.Equal(q.Reserve(begin.Add(9*time.Second), customer(), 500).Wait, time.Duration(0))
 }
 
-// TestUntold lets nothing through before it is known what was drawn, and opens a limit
-// at its rate from the start on if nobody tells.
-func TestUntold(t *testing.T) {
+// TestNotReady checks that no call is admitted before what was consumed earlier is known, and
+// that a limit opens at its rate from the start on if that never arrives.
+func TestNotReady(t *testing.T) {
 	is := is.New(t)
 	q := starting(begin, "self")
 	is.True(send(q, begin, 1).NotReady)
-	is.Equal(send(q, begin.Add(StateTimeout/4), 1).Wait, 3*StateTimeout/4) // when it opens at the latest
-	is.Equal(send(q, begin.Add(StateTimeout-time.Millisecond), 1).Wait, untoldWait)
+	is.Equal(send(q, begin.Add(StateTimeout/4), 1).Wait, 3*StateTimeout/4) // until StateTimeout
+	is.Equal(send(q, begin.Add(StateTimeout-time.Millisecond), 1).Wait, notReadyWait)
 	is.True(!q.Ready(begin))
 	late := begin.Add(StateTimeout)
 	is.True(q.Ready(late))
@@ -109,7 +109,7 @@
 	is.Equal(send(q, late.Add(time.Second), 100).Wait, time.Duration(0))
 }
 
-// TestNoLimit lets everything through where no rate is agreed.
+// TestNoLimit checks that every call is admitted where no rate is set.
 func TestNoLimit(t *testing.T) {
 	is := is.New(t)
 	q := &Quota{}
@@ -120,47 +120,48 @@
 	v.Debit.Refund()
 }
 
-// TestGivenBackIsNoCredit lets calls that wait be given up, and others take their place.
-// What was given back must not be spent once more when the first draw has left the window.
-func TestGivenBackIsNoCredit(t *testing.T) {
+// TestRefundIsNoCredit guards against counting a reservation at its arrival. A waiting call is
+// abandoned and another takes its place: the refunded tokens must not be available again when the
+// first reservation has left the window.
+func TestRefundIsNoCredit(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
 	first := q.Reserve(begin, customer(), 1000)
 	is.Equal(first.Wait, time.Duration(0))
 	first.Debit.Refund() // 4 s later
 	is.Equal(send(q, begin.Add(5*time.Second), 1000).Wait, time.Duration(0))
-	is.True(send(q, begin.Add(9*time.Second), 1000).Wait > 0) // 1,000 ran 4 s ago
+	is.True(send(q, begin.Add(9*time.Second), 1000).Wait > 0) // 1,000 were consumed 4 s ago
 }
 
-// TestTurnedAwayIsNoCredit does the same with a call that was sent and did not run, here
-// and at another entry.
-func TestTurnedAwayIsNoCredit(t *testing.T) {
+// TestRejectedIsNoCredit does the same with a call that was sent and then rejected, here and at
+// another entry.
+func TestRejectedIsNoCredit(t *testing.T) {
 	is := is.New(t)
 	q, other := running("self"), running("other")
-	hear := func(now time.Time) { other.ApplyUpdates(now, "self", q.Updates(now)) }
+	report := func(now time.Time) { other.ApplyUpdates(now, "self", q.Updates(now)) }
 	first := send(q, begin, 1000)
-	hear(begin)
+	report(begin)
 	first.Debit.Refund()
-	hear(begin.Add(4 * time.Second))
+	report(begin.Add(4 * time.Second))
 	is.Equal(send(q, begin.Add(5*time.Second), 1000).Wait, time.Duration(0))
-	hear(begin.Add(5 * time.Second))
+	report(begin.Add(5 * time.Second))
 	late := begin.Add(9 * time.Second)
 	is.True(send(q, late, 1000).Wait > 0)
 	is.True(send(other, late, 1000).Wait > 0)
 }
 
-// BenchmarkTake measures a call's verdict and draw where so many other entries drew on
-// its customer's limit all through the window: 3, 12 and 103 us.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkTake measures Reserve and Commit where that many other entries consumed on the
+// customer's limit throughout the window.
+func BenchmarkReserve(b *testing.B) {
 	for _, entries := range []int{4, 29, 360} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			q := running("self")
 			now := begin
-			for i := range int(q.Window / grain) {
-				now = now.Add(grain)
+			for i := range int(q.Window / bucketWidth) {
+				now = now.Add(bucketWidth)
 				for n := range entries {
-					drawn := float64(i + 1)
-					q.ApplyUpdates(now, runworks.Incarnation(fmt.Sprint(n)), told(int64(i+1), drawn, drawn, 0))
+					consumed := float64(i + 1)
+					q.ApplyUpdates(now, runworks.Incarnation(fmt.Sprint(n)), reportedUse(int64(i+1), consumed, consumed, 0))
 				}
 			}
 			c := &runworks.RoutedCustomer{Name: "yard", TokensPerSecond: 1e9}
--- a/services/quota/record.go
+++ b/services/quota/record.go
@@ -7,147 +7,148 @@
 )
 
 const (
-	// RecordInterval is the least time between two records: what is drawn behind the last
-	// one is not known if all entries end at once, and each costs a call to the store.
+	// RecordInterval is the least time between two records. What is consumed after the last one
+	// is lost if all entries exit at once, and each record costs a call to the store.
 	RecordInterval = 400 * time.Millisecond
-	// hurryEvery is the same for a customer that drew hurryPart of its limit since: one that
-	// had drawn nothing for a window may draw all of it in a moment.
-	hurryEvery = 100 * time.Millisecond
-	hurryPart  = 1.0 / 8
-	// recordTurn is how much longer an entry waits for each that comes before it, so
-	// that one of them writes.
-	recordTurn = 100 * time.Millisecond
-	// recordPart is the part of a customer's limit that is drawn before a record is
-	// due: customers far below their limits cost none.
-	recordPart = 1.0 / 16
-	// recordOutdated is when a record tells of a window that is long past. The times of
-	// day of writer and reader may differ by seconds.
-	recordOutdated = time.Minute
+	// urgentInterval replaces RecordInterval for a customer that consumed urgentFraction of its
+	// limit since the last record: a customer that was idle for a window may consume all of its
+	// limit in a moment.
+	urgentInterval = 100 * time.Millisecond
+	urgentFraction = 1.0 / 8
+	// writerDelay is how much longer an entry waits for each entry that is ahead of it in the
+	// order of writers, so that one of them writes.
+	writerDelay = 100 * time.Millisecond
+	// recordFraction is the part of a customer's limit that must be consumed before a record is
+	// due, so that customers far below their limits cause no writes.
+	recordFraction = 1.0 / 16
+	// recordMaxAge is when a record's window is certainly past. It is long, as the clocks of
+	// writer and reader may differ by seconds.
+	recordMaxAge = time.Minute
 )
 
-// recordLife stands for the lives of which only a record tells, added up.
-const recordLife runworks.Incarnation = "record"
+// recordIncarnation holds the sum of the incarnations that are known only from a record.
+const recordIncarnation runworks.Incarnation = "record"
 
-// recorder knows when the state is to be put on record, so that it outlasts the end of
-// all entries at once.
+// recorder decides when the state must be written to the store, where it survives the exit of all
+// entries at once.
 type recorder struct {
-	// limits are the customers' limits as calls met them here.
-	limits map[string]metLimit
-	// since is what was drawn since the last record, and writing what the record holds
-	// that is being written.
-	since, writing map[string]float64
-	last           time.Time
-	// refused says that the store did not take the last record: the next is in no hurry.
-	refused bool
+	// limits are the customers' limits as of the last call here.
+	limits map[string]observedLimit
+	// sinceLast is what was consumed since the last record, and writing what the record that is
+	// being written contains.
+	sinceLast, writing map[string]float64
+	last               time.Time
+	// failed means that the store did not accept the last record; the next is not urgent then.
+	failed bool
 }
 
-// metLimit is a customer's limit as the last call here met it.
-type metLimit struct {
-	// allowed is what it lets through in a window, in tokens.
+// observedLimit is a customer's limit as of the last call here.
+type observedLimit struct {
+	// allowed is what it admits in a window, in tokens.
 	allowed float64
-	// near says that little of it was left.
+	// near means that little of it was left.
 	near bool
 }
 
-func (r *recorder) met(customer string, v *Decision) {
+func (r *recorder) observe(customer string, v *Decision) {
 	if r.limits == nil {
-		r.limits = make(map[string]metLimit)
+		r.limits = make(map[string]observedLimit)
 	}
-	r.limits[customer] = metLimit{allowed: v.Allowed, near: v.Consumed+v.Reserved+v.Assumed >= nearPart*v.Allowed}
+	r.limits[customer] = observedLimit{allowed: v.Allowed, near: v.Consumed+v.Reserved+v.Assumed >= nearFraction*v.Allowed}
 }
 
-func (r *recorder) drew(customer string, tokens float64) {
-	if r.since == nil {
-		r.since = make(map[string]float64)
+func (r *recorder) consumed(customer string, tokens float64) {
+	if r.sinceLast == nil {
+		r.sinceLast = make(map[string]float64)
 	}
-	r.since[customer] += tokens
+	r.sinceLast[customer] += tokens
 }
 
-// recorded notes a record of another entry.
-func (r *recorder) recorded(now time.Time) { r.last, r.since = now, nil }
+// otherWrote restarts the interval after a record of another entry.
+func (r *recorder) otherWrote(now time.Time) { r.last, r.sinceLast = now, nil }
 
-// due says whether enough of a customer's limit was drawn since the last record, and after
-// which time from then a record is to follow.
-func (r *recorder) due(customer string) (every time.Duration, due bool) {
-	limit, drawn := r.limits[customer].allowed, r.since[customer]
+// due reports whether enough of a customer's limit was consumed since the last record, and the
+// interval between that record and the next.
+func (r *recorder) due(customer string) (interval time.Duration, due bool) {
+	limit, consumed := r.limits[customer].allowed, r.sinceLast[customer]
 	switch {
-	case limit == 0 || drawn < recordPart*limit:
+	case limit == 0 || consumed < recordFraction*limit:
 		return 0, false
-	case drawn >= hurryPart*limit && !r.refused:
-		return hurryEvery, true
+	case consumed >= urgentFraction*limit && !r.failed:
+		return urgentInterval, true
 	}
 	return RecordInterval, true
 }
 
-// RecordLost tells that the last record may be gone: what the customers drew in the window is
-// to be put on record anew.
+// RecordLost marks the last record as possibly lost: what the customers consumed in the window
+// must be written again.
 func (q *Quota) RecordLost(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.recorder.last, q.recorder.since = now, nil
+	q.recorder.last, q.recorder.sinceLast = now, nil
 	for customer := range q.recorder.limits {
 		total, _ := q.total(now, customer)
-		q.recorder.drew(customer, total.sum())
+		q.recorder.consumed(customer, total.sum())
 	}
 }
 
-// RecordDue says whether this entry is to put its state on record now. Of the entries
-// that drew on a limit the one whose life has the first name does it; another waits a
-// little longer.
+// RecordDue reports whether this entry must write a record now. Of the entries that consumed a
+// limit the one with the lowest incarnation ID writes; the others wait longer, each by its rank.
 func (q *Quota) RecordDue(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	waited := now.Sub(q.recorder.last)
-	if waited < hurryEvery || !q.toldLocked(now) {
+	if waited < urgentInterval || !q.readyLocked(now) {
 		return false
 	}
-	for customer := range q.recorder.since {
-		every, due := q.recorder.due(customer)
-		if due && waited >= every+time.Duration(q.before(now, customer))*recordTurn {
+	for customer := range q.recorder.sinceLast {
+		interval, due := q.recorder.due(customer)
+		if due && waited >= interval+time.Duration(q.writersBefore(now, customer))*writerDelay {
 			return true
 		}
 	}
 	return false
 }
 
-// before is how many entries that drew on a limit come before this one.
-func (q *Quota) before(now time.Time, customer string) int {
+// writersBefore returns how many entries that consumed a limit are ahead of this one in the order
+// of writers.
+func (q *Quota) writersBefore(now time.Time, customer string) int {
 	n := 0
-	for id, l := range q.lives {
-		if id < q.Self && !l.over && now.Sub(l.heard) <= UnreachableAfter && l.accounts[customer] != nil {
+	for id, inc := range q.incarnations {
+		if id < q.Self && !inc.ended && now.Sub(inc.lastSeen) <= UnreachableAfter && inc.accounts[customer] != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// Record gives what to put on record; Recorded tells how that went.
+// Record returns the record to write. Call RecordWritten with the result of the write.
 func (q *Quota) Record(now time.Time) runworks.LimitRecord {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := &q.recorder
-	r.last, r.writing, r.since = now, r.since, nil
-	all := &life{}
-	for _, l := range q.lives {
-		for customer := range l.accounts {
-			q.addUp(now, customer, all)
+	r.last, r.writing, r.sinceLast = now, r.sinceLast, nil
+	all := &incarnation{}
+	for _, inc := range q.incarnations {
+		for customer := range inc.accounts {
+			q.sumInto(now, customer, all)
 		}
 	}
-	out := runworks.LimitRecord{At: now, Use: q.whole(now, all)}
+	out := runworks.LimitRecord{At: now, Use: q.fullUse(now, all)}
 	if !q.completeLocked(now) {
-		out.Consumed = q.drawn(now, &out.Use)
+		out.Consumed = q.consumedBy(now, &out.Use)
 	}
 	return out
 }
 
-// drawn gives what each life drew since its start, as far as the window still counts it, of
-// the customers of a use.
-func (q *Quota) drawn(now time.Time, use *runworks.LimitUse) map[runworks.Incarnation]map[string]float64 {
+// consumedBy returns what each incarnation consumed since its start, as far as it is in the
+// window, of the customers in use.
+func (q *Quota) consumedBy(now time.Time, use *runworks.LimitUse) map[runworks.Incarnation]map[string]float64 {
 	out := make(map[runworks.Incarnation]map[string]float64)
-	for id, l := range q.lives {
-		for customer, a := range l.accounts {
-			a.recent.trim(q.oldest(now))
-			tokens := min(a.drawn, a.recent.sum())
+	for id, inc := range q.incarnations {
+		for customer, a := range inc.accounts {
+			a.recent.trim(q.oldestBucket(now))
+			tokens := min(a.consumed, a.recent.sum())
 			if _, counts := use.Customers[customer]; !counts || tokens <= 0 {
 				continue
 			}
@@ -160,51 +161,52 @@
 	return out
 }
 
-// addUp puts what all lives used of a customer's limit in one, unless it is there or far
-// below the limit.
-func (q *Quota) addUp(now time.Time, customer string, all *life) {
+// sumInto adds what all incarnations used of a customer's limit to all, unless it is there
+// already or far below the limit.
+func (q *Quota) sumInto(now time.Time, customer string, all *incarnation) {
 	if all.accounts[customer] != nil {
 		return
 	}
-	total, held := q.total(now, customer)
-	if total.sum()+held < recordPart*q.recorder.limits[customer].allowed {
+	total, reserved := q.total(now, customer)
+	if total.sum()+reserved < recordFraction*q.recorder.limits[customer].allowed {
 		return
 	}
-	a := all.of(customer)
-	a.recent, a.held = *total, held
+	a := all.account(customer)
+	a.recent, a.reserved = *total, reserved
 }
 
-// RecordWritten notes whether the state of the last call of Record is on record.
+// RecordWritten records whether the store accepted the result of the last call of Record.
 func (q *Quota) RecordWritten(ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.recorder.refused = !ok
+	q.recorder.failed = !ok
 	if !ok {
 		for customer, tokens := range q.recorder.writing {
-			q.recorder.drew(customer, tokens)
+			q.recorder.consumed(customer, tokens)
 		}
 		return
 	}
-	own := q.own()
-	own.records++
+	own := q.ownIncarnation()
+	own.recordsWritten++
 	own.version++
 }
 
-// ApplyRecord takes the last record at the start; nil says that there is none. Its
-// draws count as if it had been written just now, as the hosts' times of day can't be
-// compared: at most as much longer as the fleet was gone.
+// ApplyRecord applies the last record from the store at the start; nil means that there is none.
+// Its consumption counts as if the record had been written now, as the clocks of different hosts
+// cannot be compared: it stays in the window longer by at most the time that all entries were
+// down.
 func (q *Quota) ApplyRecord(now time.Time, r *runworks.LimitRecord) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.told = true
-	if r == nil || q.complete || now.Sub(r.At) > recordOutdated {
+	q.ready = true
+	if r == nil || q.complete || now.Sub(r.At) > recordMaxAge {
 		return
 	}
-	l := q.of(recordLife)
-	q.replace(now, l, &r.Use)
-	l.spendHeld(q.number(now), recordSpan)
-	q.setOff.take(r.Consumed)
-	for id, known := range q.lives {
-		q.setOff.told(id, known, l)
+	recorded := q.incarnation(recordIncarnation)
+	q.replace(now, recorded, &r.Use)
+	recorded.consumeReserved(q.bucketAt(now), recordSpan)
+	q.dedup.setRecorded(r.Consumed)
+	for id, known := range q.incarnations {
+		q.dedup.subtract(id, known, recorded)
 	}
 }
--- a/services/quota/record_test.go
+++ b/services/quota/record_test.go
@@ -11,8 +11,8 @@
 	"github.com/runworks/runworks"
 )
 
-// TestRecord lets one entry put the state on record once a part of a limit was drawn,
-// and a fleet that ended at once go on where it stood.
+// TestRecord checks that one entry writes a record once a part of a limit was consumed, and that
+// entries which all exited at once continue from it.
 func TestRecord(t *testing.T) {
 	is := is.New(t)
 	a, b := running("a"), running("b")
@@ -27,34 +27,34 @@
 	is.True(a.RecordDue(now))
 	a.Record(now)
 	is.True(!a.RecordDue(now.Add(time.Hour)))
-	a.RecordWritten(false) // the store did not take it
+	a.RecordWritten(false) // the store did not accept it
 	is.True(!a.RecordDue(now.Add(RecordInterval / 2)))
 	is.True(a.RecordDue(now.Add(RecordInterval)))
 	record := a.Record(now)
 	a.RecordWritten(true)
 	b.ApplyUpdates(now, "a", a.Updates(now))
-	is.True(!b.RecordDue(now.Add(time.Second))) // a did
+	is.True(!b.RecordDue(now.Add(time.Second))) // a wrote it
 
-	again := now.Add(2 * time.Second)
-	q := starting(again, "q")
-	q.ApplyRecord(again, &record)
-	is.True(q.Ready(again))
-	is.Equal(q.Consumed(again)["yard"], 950.0)
-	v := send(q, again, 100)
+	restart := now.Add(2 * time.Second)
+	q := starting(restart, "q")
+	q.ApplyRecord(restart, &record)
+	is.True(q.Ready(restart))
+	is.Equal(q.Consumed(restart)["yard"], 950.0)
+	v := send(q, restart, 100)
 	is.True(v.Wait > 0)
-	is.Equal(v.Assumed, 40.0) // what may have been drawn behind the record
-	// The draws count as long as if the record had been written at the start.
-	is.True(send(q, again.Add(8*time.Second-RecordInterval-time.Millisecond), 100).Wait > 0)
-	is.Equal(send(q, again.Add(8*time.Second+grain), 100).Wait, time.Duration(0))
+	is.Equal(v.Assumed, 40.0) // what may have been consumed after the record
+	// The consumption counts as if the record had been written at the start.
+	is.True(send(q, restart.Add(8*time.Second-RecordInterval-time.Millisecond), 100).Wait > 0)
+	is.Equal(send(q, restart.Add(8*time.Second+bucketWidth), 100).Wait, time.Duration(0))
 
-	// One that was written long ago tells nothing.
-	q = starting(again, "q")
+	// An outdated record is ignored.
+	q = starting(restart, "q")
 	q.ApplyRecord(begin.Add(time.Hour), &record)
 	is.Equal(len(q.Consumed(begin.Add(time.Hour))), 0)
 }
 
-// TestRecordAfterItWasLost puts the state on record again, by one entry, though nothing more
-// was drawn.
+// TestRecordAfterItWasLost checks that one entry writes the record again after it was lost,
+// though nothing more was consumed.
 func TestRecordAfterItWasLost(t *testing.T) {
 	is := is.New(t)
 	a, b := running("a"), running("b")
@@ -70,9 +70,9 @@
 	is.True(!a.RecordDue(later))
 	a.RecordLost(later)
 	b.RecordLost(later)
-	later = later.Add(hurryEvery)
+	later = later.Add(urgentInterval)
 	is.True(a.RecordDue(later))
-	is.True(!b.RecordDue(later.Add(recordTurn / 2))) // it waits for the other one
+	is.True(!b.RecordDue(later.Add(writerDelay / 2))) // it waits for the other entry
 	record := a.Record(later)
 	a.RecordWritten(true)
 	is.Equal(record.Use.Customers["yard"].ConsumedInWindow, 530.0)
@@ -80,12 +80,12 @@
 	is.True(!b.RecordDue(later.Add(time.Second)))
 }
 
-// TestRecordGivesWay forgets what only a record tells once an entry tells that lived
-// through the window.
-func TestRecordGivesWay(t *testing.T) {
+// TestRecordReplacedByState checks that what is known only from a record is dropped once an entry
+// that counted the whole window sends its state.
+func TestRecordReplacedByState(t *testing.T) {
 	is := is.New(t)
 	a := running("a")
-	a.ApplyUpdates(begin, "dead", told(1, 400, 400, 0))
+	a.ApplyUpdates(begin, "dead", reportedUse(1, 400, 400, 0))
 	send(a, begin, 500)
 	record := a.Record(begin)
 	now := begin.Add(9 * time.Second) // both left the window
@@ -99,9 +99,9 @@
 	is.Equal(q.Consumed(now)["yard"], 100.0)
 }
 
-// drawnSince gives two entries that drew on a limit, of which a wrote a record and b drew so
-// much since.
-func drawnSince(tokens float64) (a, b *Quota) {
+// consumedSinceRecord returns two entries that consumed on a limit: a wrote a record, and b
+// consumed tokens since.
+func consumedSinceRecord(tokens float64) (a, b *Quota) {
 	a, b = running("a"), running("b")
 	send(a, begin, 10)
 	b.ApplyUpdates(begin, "a", a.Updates(begin))
@@ -113,39 +113,40 @@
 	return a, b
 }
 
-// TestRecordTurns gives the turn to the next entry when the first does not write.
+// TestRecordTurns checks that the next entry writes when the first does not.
 func TestRecordTurns(t *testing.T) {
 	is := is.New(t)
-	a, b := drawnSince(100) // less than what hurries
+	a, b := consumedSinceRecord(100) // below urgentFraction
 	now := begin.Add(RecordInterval)
 	is.True(!a.RecordDue(now.Add(-time.Millisecond)))
 	is.True(a.RecordDue(now))
 	is.True(!b.RecordDue(now))
-	is.True(b.RecordDue(now.Add(recordTurn)))
+	is.True(b.RecordDue(now.Add(writerDelay)))
 }
 
-// TestRecordHurries puts much that was drawn at once on record sooner, in the same turns.
-func TestRecordHurries(t *testing.T) {
+// TestUrgentRecord checks that a record is written sooner after much was consumed at once, by the
+// same order of writers.
+func TestUrgentRecord(t *testing.T) {
 	is := is.New(t)
-	a, b := drawnSince(125) // an eighth of 1,000
-	now := begin.Add(hurryEvery)
+	a, b := consumedSinceRecord(125) // an eighth of 1,000
+	now := begin.Add(urgentInterval)
 	is.True(!a.RecordDue(now.Add(-time.Millisecond)))
 	is.True(a.RecordDue(now))
 	is.True(!b.RecordDue(now))
-	is.True(b.RecordDue(now.Add(recordTurn)))
+	is.True(b.RecordDue(now.Add(writerDelay)))
 	a.Record(now)
-	a.RecordWritten(false) // the store is not pressed
+	a.RecordWritten(false) // a failing store gets no urgent writes
 	is.True(!a.RecordDue(now.Add(RecordInterval - time.Millisecond)))
 	is.True(a.RecordDue(now.Add(RecordInterval)))
 }
 
-// TestRecordFits keeps the record of 450 customers that drew all through the window
-// below the store's bound of 256 KB, and leaves out those far below their limits.
+// TestRecordFits checks that the record of 450 customers that consumed throughout the window is
+// below the store's limit of 256 KB, and omits those far below their limits.
 func TestRecordFits(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
 	now := begin
-	for ; now.Before(begin.Add(q.Window)); now = now.Add(grain) {
+	for ; now.Before(begin.Add(q.Window)); now = now.Add(bucketWidth) {
 		for i := range 500 {
 			c := &runworks.RoutedCustomer{Name: fmt.Sprintf("customer-%d", i), TokensPerSecond: 1e6}
 			tokens := 50_000.0
--- a/services/quota/updates.go
+++ b/services/quota/updates.go
@@ -7,99 +7,100 @@
 )
 
 const (
-	// tellEvery is when the smallest change is told.
-	tellEvery = time.Second
-	// tellPart is the part of a limit that all entries together may have drawn untold:
-	// telling every change would nearly double the bytes between halls.
-	tellPart = 1.0 / 32
-	// nearPart is the part of a limit from which on every change is told at once.
-	nearPart = 15.0 / 16
-	// sweepEvery is how often lives that left the window are looked for.
-	sweepEvery = time.Second
-	// unheardSpan is the span, in grains, in which a life may have drawn unheard: some
-	// heartbeats.
-	unheardSpan = 2
-	// silentSpan is the same for a life that is out of touch, until a part of the rate is
-	// assumed instead: SilentAfter.
-	silentSpan = int(UnreachableAfter / grain)
-	// recordSpan is the same for what only a record tells.
-	recordSpan = int(RecordInterval/grain) + 1
-	// recentStep is the span of one RecentDraw, in grains: a state of many customers
-	// stays small, and a draw counts at most this much longer.
+	// updateInterval is how long even the smallest change may stay unreported.
+	updateInterval = time.Second
+	// updateFraction is the part of a limit that all entries together may leave unreported:
+	// reporting every change would nearly double the bytes between halls.
+	updateFraction = 1.0 / 32
+	// nearFraction is the part of a limit from which on every change is reported at once.
+	nearFraction = 15.0 / 16
+	// sweepInterval is how often incarnations that left the window are removed.
+	sweepInterval = time.Second
+	// unreportedSpan is the number of buckets in which an incarnation may have consumed without a
+	// report: some heartbeats.
+	unreportedSpan = 2
+	// unreachableSpan is the same for an unreachable incarnation, until a share of the rate is
+	// assumed instead, after UnreachableAfter.
+	unreachableSpan = int(UnreachableAfter / bucketWidth)
+	// recordSpan is the same for what is known only from a record.
+	recordSpan = int(RecordInterval/bucketWidth) + 1
+	// recentStep is the span of one RecentUse, in buckets. It keeps the state of many customers
+	// small; consumption counts at most this much longer.
 	recentStep = 5
 )
 
-// Updates gives for a heartbeat what this entry used since it told it last, as far as it
-// matters: near a limit every change, else what is a part of the limit or some time old.
+// Updates returns for a heartbeat what this entry used since its last report, as far as it
+// matters: near a limit every change, otherwise changes that are a part of the limit or some time
+// old.
 func (q *Quota) Updates(now time.Time) runworks.LimitUse {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.swept) >= sweepEvery {
+	if now.Sub(q.sweptAt) >= sweepInterval {
 		q.sweep(now)
 	}
-	own := q.own()
-	out := q.head(now, own)
-	entries := float64(q.heard(now) + 1)
+	own := q.ownIncarnation()
+	out := q.header(now, own)
+	entries := float64(q.otherEntries(now) + 1)
 	for customer, a := range own.accounts {
 		limit := q.recorder.limits[customer]
-		untold := a.untold()
-		if untold == 0 || !limit.near && untold < tellPart*limit.allowed/entries && now.Sub(a.told) < tellEvery {
+		unreported := a.unreported()
+		if unreported == 0 || !limit.near && unreported < updateFraction*limit.allowed/entries && now.Sub(a.reportedAt) < updateInterval {
 			continue
 		}
-		out.Customers[customer] = q.tell(now, a)
+		out.Customers[customer] = q.reportAccount(now, a)
 	}
 	return out
 }
 
-// FullUse gives all that this entry used, with the times of its draws: what another entry
-// needs before it can follow the news.
+// FullUse returns all that this entry used, with the times of the consumption. Another entry
+// needs it before it can apply updates.
 func (q *Quota) FullUse(now time.Time) runworks.LimitUse {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.whole(now, q.own())
+	return q.fullUse(now, q.ownIncarnation())
 }
 
-// head gives what is told of a life besides its customers.
-func (q *Quota) head(now time.Time, l *life) runworks.LimitUse {
-	out := runworks.LimitUse{Version: l.version, RecordsWritten: l.records, Customers: make(map[string]runworks.CustomerUse)}
-	if l == q.own() {
+// header returns what is reported of an incarnation besides its customers.
+func (q *Quota) header(now time.Time, inc *incarnation) runworks.LimitUse {
+	out := runworks.LimitUse{Version: inc.version, RecordsWritten: inc.recordsWritten, Customers: make(map[string]runworks.CustomerUse)}
+	if inc == q.ownIncarnation() {
 		out.Complete = q.completeLocked(now)
 	}
 	return out
 }
 
-// tell gives an account of this entry's own, and notes that the others know it now.
-func (q *Quota) tell(now time.Time, a *account) runworks.CustomerUse {
-	a.told, a.toldDrawn, a.toldHeld = now, a.drawn, a.held
-	a.recent.trim(q.oldest(now))
-	return runworks.CustomerUse{Consumed: a.drawn, ConsumedInWindow: a.recent.sum(), Reserved: a.held}
+// reportAccount returns an account of this entry's own and marks it as reported.
+func (q *Quota) reportAccount(now time.Time, a *account) runworks.CustomerUse {
+	a.reportedAt, a.reportedConsumed, a.reportedReserved = now, a.consumed, a.reserved
+	a.recent.trim(q.oldestBucket(now))
+	return runworks.CustomerUse{Consumed: a.consumed, ConsumedInWindow: a.recent.sum(), Reserved: a.reserved}
 }
 
-// sweep forgets the lives of which nothing is left in the window.
+// sweep removes the incarnations of which nothing is left in the window.
 func (q *Quota) sweep(now time.Time) {
-	q.swept = now
-	oldest := q.oldest(now)
-	for id, l := range q.lives {
+	q.sweptAt = now
+	oldest := q.oldestBucket(now)
+	for id, inc := range q.incarnations {
 		if id == q.Self {
-			continue // the others count on from what was drawn since its start
+			continue // the others count on from what was consumed since its start
 		}
-		if now.Sub(l.heard) > UnreachableAfter {
-			l.spendHeld(q.number(now), silentSpan)
+		if now.Sub(inc.lastSeen) > UnreachableAfter {
+			inc.consumeReserved(q.bucketAt(now), unreachableSpan)
 		}
-		empty := l.sweep(oldest)
-		if empty && (l.over || now.Sub(l.heard) > runworks.EntryTimeout) {
-			delete(q.lives, id)
+		empty := inc.sweep(oldest)
+		if empty && (inc.ended || now.Sub(inc.lastSeen) > runworks.EntryTimeout) {
+			delete(q.incarnations, id)
 		}
 	}
 }
 
-// whole gives what a life used in the window, with the times of its draws.
-func (q *Quota) whole(now time.Time, l *life) runworks.LimitUse {
-	oldest := q.oldest(now)
-	out := q.head(now, l)
-	for customer, a := range l.accounts {
+// fullUse returns what an incarnation used in the window, with the times of the consumption.
+func (q *Quota) fullUse(now time.Time, inc *incarnation) runworks.LimitUse {
+	oldest := q.oldestBucket(now)
+	out := q.header(now, inc)
+	for customer, a := range inc.accounts {
 		a.recent.trim(oldest)
-		one := runworks.CustomerUse{Consumed: a.drawn, ConsumedInWindow: a.recent.sum(), Reserved: a.held, Recent: q.recent(now, &a.recent)}
+		one := runworks.CustomerUse{Consumed: a.consumed, ConsumedInWindow: a.recent.sum(), Reserved: a.reserved, Recent: q.recent(now, &a.recent)}
 		if one.ConsumedInWindow > 0 || one.Reserved > 0 {
 			out.Customers[customer] = one
 		}
@@ -107,7 +108,8 @@
 	return out
 }
 
-// recent gives the times of draws in steps, each as old as its newest.
+// recent returns the consumption in steps of recentStep buckets, each as old as its newest
+// bucket.
 func (q *Quota) recent(now time.Time, u *usage) []runworks.RecentUse {
 	var out []runworks.RecentUse
 	for i := 0; i < len(u.counts); i += recentStep {
@@ -119,13 +121,13 @@
 		if tokens == 0 {
 			continue
 		}
-		at := q.epoch.Add(time.Duration(u.first+int64(end)-1) * grain)
+		at := q.epoch.Add(time.Duration(u.first+int64(end)-1) * bucketWidth)
 		out = append(out, runworks.RecentUse{AgeMs: max(now.Sub(at), 0).Milliseconds(), Tokens: tokens})
 	}
 	return out
 }
 
-// State gives all that this entry counts, for a new life of another entry.
+// State returns all that this entry counts, for a new incarnation of another entry.
 func (q *Quota) State(now time.Time) runworks.LimitState {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -134,93 +136,94 @@
 
 func (q *Quota) state(now time.Time) runworks.LimitState {
 	out := runworks.LimitState{Complete: q.completeLocked(now), Incarnations: make(map[runworks.Incarnation]runworks.LimitUse)}
-	for id, l := range q.lives {
-		if use := q.whole(now, l); len(use.Customers) > 0 {
+	for id, inc := range q.incarnations {
+		if use := q.fullUse(now, inc); len(use.Customers) > 0 {
 			out.Incarnations[id] = use
 		}
 	}
 	return out
 }
 
-// ApplyUpdates takes what another life of an entry tells of its own use.
+// ApplyUpdates applies a heartbeat with another incarnation's own use.
 func (q *Quota) ApplyUpdates(now time.Time, from runworks.Incarnation, use runworks.LimitUse) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.of(from)
-	l.heard, l.over = now, false
-	if use.RecordsWritten > l.records {
-		l.records = use.RecordsWritten
-		q.recorder.recorded(now)
+	inc := q.incarnation(from)
+	inc.lastSeen, inc.ended = now, false
+	if use.RecordsWritten > inc.recordsWritten {
+		inc.recordsWritten = use.RecordsWritten
+		q.recorder.otherWrote(now)
 	}
-	if use.Version > l.version {
-		l.update(q.number(now), &use, q.recorder.drew)
-		q.setOff.told(from, l, q.lives[recordLife])
+	if use.Version > inc.version {
+		inc.update(q.bucketAt(now), &use, q.recorder.consumed)
+		q.dedup.subtract(from, inc, q.incarnations[recordIncarnation])
 	}
 }
 
-// ApplyFullUse takes all that another life of an entry used, before its news.
+// ApplyFullUse applies all that another incarnation used. It comes before that incarnation's
+// updates.
 func (q *Quota) ApplyFullUse(now time.Time, from runworks.Incarnation, use runworks.LimitUse) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	l := q.of(from)
-	l.heard, l.over = now, false
-	if use.Version >= l.version {
-		q.replace(now, l, &use)
-		q.setOff.told(from, l, q.lives[recordLife])
+	inc := q.incarnation(from)
+	inc.lastSeen, inc.ended = now, false
+	if use.Version >= inc.version {
+		q.replace(now, inc, &use)
+		q.dedup.subtract(from, inc, q.incarnations[recordIncarnation])
 	}
 }
 
-// ApplyState takes all that another entry counts, if nothing of the window is missing
-// there. It says whether something was missing here.
+// ApplyState applies all that another entry counts, if that entry's window is complete. It
+// reports whether it was applied; it is not where this entry's window is complete already.
 func (q *Quota) ApplyState(now time.Time, s *runworks.LimitState) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !s.Complete || q.completeLocked(now) {
 		return false
 	}
-	// Who counted a whole window knows what of the record still counts, and since when.
-	delete(q.lives, recordLife)
-	q.takeLives(now, s)
-	q.told, q.complete = true, true
+	// An entry that counted a whole window knows what of the record still counts, and since when.
+	delete(q.incarnations, recordIncarnation)
+	q.applyIncarnations(now, s)
+	q.ready, q.complete = true, true
 	return true
 }
 
-// NeedsState says whether so much of the window is missing here that another entry's count of it
-// is worth asking for.
+// NeedsState reports whether so much of the window is missing here that another entry's state is
+// worth requesting.
 func (q *Quota) NeedsState(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return !q.completeLocked(now) && q.window()-now.Sub(q.Started) >= min(minMissing, q.window()/4)
 }
 
-// takeLives takes the use of each life that is told newer than it is known.
-func (q *Quota) takeLives(now time.Time, s *runworks.LimitState) {
+// applyIncarnations applies the use of each incarnation that is newer than what is known here.
+func (q *Quota) applyIncarnations(now time.Time, s *runworks.LimitState) {
 	for id, use := range s.Incarnations {
 		if id == q.Self {
 			continue
 		}
-		l := q.of(id)
-		if fresh := l.version == 0 && len(l.accounts) == 0; !fresh && use.Version <= l.version {
+		inc := q.incarnation(id)
+		if fresh := inc.version == 0 && len(inc.accounts) == 0; !fresh && use.Version <= inc.version {
 			continue
 		}
-		q.replace(now, l, &use)
-		l.spendHeld(q.number(now), unheardSpan)
+		q.replace(now, inc, &use)
+		inc.consumeReserved(q.bucketAt(now), unreportedSpan)
 	}
 }
 
-func (q *Quota) replace(now time.Time, l *life, use *runworks.LimitUse) {
-	q.number(now) // sets the epoch
-	l.replace(func(age time.Duration) int64 { return q.number(now.Add(-age)) }, use)
-	l.records = max(l.records, use.RecordsWritten)
+func (q *Quota) replace(now time.Time, inc *incarnation, use *runworks.LimitUse) {
+	q.bucketAt(now) // sets the epoch
+	inc.replace(func(age time.Duration) int64 { return q.bucketAt(now.Add(-age)) }, use)
+	inc.recordsWritten = max(inc.recordsWritten, use.RecordsWritten)
 }
 
-// EndIncarnation counts a life of an entry as over: what it drew stays counted, and it draws
-// nothing more.
+// EndIncarnation marks another entry's incarnation as ended: what it consumed stays counted, and
+// it consumes nothing more.
 func (q *Quota) EndIncarnation(now time.Time, id runworks.Incarnation) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if l := q.lives[id]; l != nil {
-		l.over = true
-		l.spendHeld(q.number(now), unheardSpan)
+	if inc := q.incarnations[id]; inc != nil {
+		inc.ended = true
+		inc.consumeReserved(q.bucketAt(now), unreportedSpan)
 	}
 }
--- a/services/quota/updates_test.go
+++ b/services/quota/updates_test.go
@@ -9,39 +9,40 @@
 	"github.com/runworks/runworks"
 )
 
-// TestOthersCount counts what other entries drew and hold, and what they gave back.
+// TestOthersCount checks that what other entries consumed and reserved counts, less what they
+// refunded.
 func TestOthersCount(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
-	q.ApplyUpdates(begin, "other", told(1, 5000, 500, 300)) // 4,500 left its window
+	q.ApplyUpdates(begin, "other", reportedUse(1, 5000, 500, 300)) // 4,500 left its window
 	is.Equal(send(q, begin, 100).Wait, time.Duration(0))
 	is.True(send(q, begin, 200).Wait > 0)
-	q.ApplyUpdates(begin, "other", told(2, 5300, 800, 0)) // what was held is drawn
+	q.ApplyUpdates(begin, "other", reportedUse(2, 5300, 800, 0)) // the reservation is consumed
 	is.True(send(q, begin, 200).Wait > 0)
-	q.ApplyUpdates(begin, "other", told(3, 5100, 600, 0)) // 200 did not run
+	q.ApplyUpdates(begin, "other", reportedUse(3, 5100, 600, 0)) // 200 were refunded
 	is.Equal(send(q, begin, 200).Wait, time.Duration(0))
-	q.ApplyUpdates(begin, "other", told(2, 5300, 800, 0)) // overtaken by a newer word
+	q.ApplyUpdates(begin, "other", reportedUse(2, 5300, 800, 0)) // older than the last report
 	is.Equal(q.Consumed(begin)["yard"], 900.0)
 }
 
-// TestHeardAgain counts of an entry that was not heard for long only what is in its
-// window, not all that it drew since.
-func TestHeardAgain(t *testing.T) {
+// TestSeenAgain checks that of an entry that was unreachable for long only its window counts, not
+// all that it consumed since.
+func TestSeenAgain(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
-	q.ApplyUpdates(begin, "other", told(1, 1000, 1000, 0))
+	q.ApplyUpdates(begin, "other", reportedUse(1, 1000, 1000, 0))
 	later := begin.Add(time.Hour)
 	q.Updates(later)
-	q.ApplyUpdates(later, "other", told(900, 90_000, 300, 0))
+	q.ApplyUpdates(later, "other", reportedUse(900, 90_000, 300, 0))
 	is.Equal(q.Consumed(later)["yard"], 300.0)
 }
 
-// TestSilentEntries assumes that an entry out of touch goes on drawing its part, and
-// that it sent of what it held as much as it had drawn in as long a time.
-func TestSilentEntries(t *testing.T) {
+// TestUnreachableEntries checks that an unreachable entry is assumed to consume its share of the
+// rate, and to have consumed of its reservations as much as it had consumed in as long a time.
+func TestUnreachableEntries(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
-	q.ApplyUpdates(begin, "other", told(1, 30, 30, 70))
+	q.ApplyUpdates(begin, "other", reportedUse(1, 30, 30, 70))
 	v := q.Reserve(begin.Add(UnreachableAfter), customer(), 1)
 	is.Equal(v.Assumed, 0.0)
 	is.Equal(v.Reserved, 70.0)
@@ -53,12 +54,13 @@
 	is.Equal(q.Reserve(begin.Add(runworks.EntryTimeout+time.Second), customer(), 1).Assumed, 0.0)
 }
 
-// TestNewLife assumes nothing more of an entry's life that is over: a new one of the
-// same entry was heard. What it had drawn stays counted, and what it held may have run.
-func TestNewLife(t *testing.T) {
+// TestNewIncarnation checks that nothing more is assumed of an incarnation that ended, once a new
+// one of the same entry was seen. What it had consumed stays counted, and its reservations may
+// have been consumed.
+func TestNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
-	q.ApplyUpdates(begin, "old", told(1, 300, 300, 50))
+	q.ApplyUpdates(begin, "old", reportedUse(1, 300, 300, 50))
 	q.EndIncarnation(begin, "old")
 	q.ApplyUpdates(begin, "new", runworks.LimitUse{})
 	later := begin.Add(4 * time.Second)
@@ -69,12 +71,12 @@
 	is.Equal(v.Reserved, 0.0)
 }
 
-// TestNewEntryIsTold goes on where another entry stands, with the times of its draws,
-// those of lives that are over, and what its calls hold.
-func TestNewEntryIsTold(t *testing.T) {
+// TestNewEntryGetsState checks that a new entry continues from another entry's state, with the
+// times of the consumption, the use of ended incarnations, and the reservations.
+func TestNewEntryGetsState(t *testing.T) {
 	is := is.New(t)
 	old := running("old")
-	old.ApplyUpdates(begin, "dead", told(4, 300, 300, 0))
+	old.ApplyUpdates(begin, "dead", reportedUse(4, 300, 300, 0))
 	old.EndIncarnation(begin, "dead")
 	send(old, begin.Add(4*time.Second), 500)
 	old.Reserve(begin.Add(4*time.Second), customer(), 150)
@@ -89,15 +91,15 @@
 	is.Equal(v.Reserved, 150.0)
 	is.Equal(v.Assumed, 0.0)
 	is.True(send(q, now, 1).Wait > 0)
-	// Heartbeats tell it what follows, each draw once.
+	// Heartbeats report what follows; each consumption counts once.
 	later := now.Add(4 * time.Second)
 	q.ApplyUpdates(later, "old", old.Updates(later))
 	is.Equal(send(q, later, 300).Wait, time.Duration(0)) // 300 left the window
 	is.Equal(q.Consumed(later)["yard"], 850.0)
 }
 
-// TestStartedTogether counts what two entries draw that start at once, also what each
-// drew before it heard the other.
+// TestStartedTogether checks that the use of two entries that start at once counts, also what
+// each consumed before it received the other's report.
 func TestStartedTogether(t *testing.T) {
 	is := is.New(t)
 	a, b := starting(begin, "a"), starting(begin, "b")
@@ -114,37 +116,37 @@
 	is.Equal(b.Consumed(now)["yard"], 700.0)
 }
 
-// TestNews tells what matters for the limit: far from it large changes at once and small
-// ones after a while, near it every change; nothing twice.
-func TestNews(t *testing.T) {
+// TestUpdates checks what heartbeats report: far from the limit large changes at once and small
+// ones after a while, near it every change, and nothing twice.
+func TestUpdates(t *testing.T) {
 	is := is.New(t)
 	q := running("self")
-	news := func(now time.Time) float64 { return q.Updates(now).Customers["yard"].Consumed }
+	consumed := func(now time.Time) float64 { return q.Updates(now).Customers["yard"].Consumed }
 	send(q, begin, 10)
-	is.Equal(news(begin), 10.0) // nothing was told for long
+	is.Equal(consumed(begin), 10.0) // nothing was reported yet
 	send(q, begin, 10)
-	is.Equal(news(begin), 0.0) // below a part of 1,000
+	is.Equal(consumed(begin), 0.0) // below the reported part of 1,000
 	send(q, begin, 30)
-	is.Equal(news(begin), 50.0)
+	is.Equal(consumed(begin), 50.0)
 	send(q, begin, 10)
-	is.Equal(news(begin.Add(tellEvery)), 60.0)
-	is.Equal(news(begin.Add(time.Hour)), 0.0)
+	is.Equal(consumed(begin.Add(updateInterval)), 60.0)
+	is.Equal(consumed(begin.Add(time.Hour)), 0.0)
 	q = running("self")
 	send(q, begin, 940)
-	is.Equal(news(begin), 940.0)
+	is.Equal(consumed(begin), 940.0)
 	send(q, begin, 1)
-	is.Equal(news(begin), 941.0)
+	is.Equal(consumed(begin), 941.0)
 	v := q.Reserve(begin, customer(), 1)
 	is.Equal(q.Updates(begin).Customers["yard"].Reserved, 1.0)
 	v.Debit.Refund()
-	use, told := q.Updates(begin).Customers["yard"]
-	is.True(told) // that nothing is held any more
+	use, reported := q.Updates(begin).Customers["yard"]
+	is.True(reported) // reports that nothing is reserved any more
 	is.Equal(use.Reserved, 0.0)
 }
 
-// TestStartedTogetherAskNobody lets a new entry ask the others for what they counted, but
-// not shortly before it has counted a whole window itself, nor when it was told.
-func TestStartedTogetherAskNobody(t *testing.T) {
+// TestStartedTogetherNeedsNoState checks that a new entry requests the state of the others, but
+// not shortly before it has counted a whole window itself, nor after it got one.
+func TestStartedTogetherNeedsNoState(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	q := &Quota{Self: "new", Started: start}
--- a/services/quota/usage.go
+++ b/services/quota/usage.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// grain is the span of one count: what is older than the window by less than this
-// still counts.
-const grain = 100 * time.Millisecond
+// bucketWidth is the span of one bucket. Consumption that is older than the window by less than
+// this still counts.
+const bucketWidth = 100 * time.Millisecond
 
-// usage is what was drawn of late, in counts of a grain each.
+// usage is recent consumption in tokens, in buckets of bucketWidth.
 type usage struct {
-	// first is the number of the first count's grain.
+	// first is the bucket number of counts[0].
 	first  int64
 	counts []float64
 }
 
-// add counts tokens in a grain. What is older than all that is counted is put to the
-// oldest, where it counts a little longer.
+// add adds tokens to a bucket. What is older than all buckets is added to the oldest, where it
+// counts a little longer.
 func (u *usage) add(number int64, tokens float64) {
 	if len(u.counts) == 0 {
 		u.first = number
@@ -26,16 +26,16 @@
 	u.counts[i] += tokens
 }
 
-// removeAt takes back what was counted in a grain, as far as it still is.
-func (u *usage) removeAt(number int64, tokens float64) {
+// subtractAt subtracts tokens from a bucket, as far as they are still in it.
+func (u *usage) subtractAt(number int64, tokens float64) {
 	if i := number - u.first; i >= 0 && i < int64(len(u.counts)) {
 		u.counts[i] = max(u.counts[i]-tokens, 0)
 	}
 }
 
-// remove takes tokens back of which nobody knows when they were drawn: the oldest, as
-// the rest then counts no shorter than it should.
-func (u *usage) remove(tokens float64) {
+// subtract subtracts tokens whose bucket is unknown. It takes the oldest first, so that the
+// remainder counts no shorter than it should.
+func (u *usage) subtract(tokens float64) {
 	for i, n := range u.counts {
 		part := min(n, tokens)
 		u.counts[i] -= part
@@ -43,7 +43,7 @@
 	}
 }
 
-// trim forgets what is older than a grain.
+// trim drops the buckets before oldest.
 func (u *usage) trim(oldest int64) {
 	gone := min(max(oldest-u.first, 0), int64(len(u.counts)))
 	u.first += gone
@@ -52,7 +52,7 @@
 
 func (u *usage) sum() float64 { return u.last(len(u.counts)) }
 
-// last gives what was counted in the newest grains.
+// last returns the sum of the newest span buckets.
 func (u *usage) last(span int) float64 {
 	sum := 0.0
 	for _, n := range u.counts[max(len(u.counts)-span, 0):] {
@@ -61,7 +61,7 @@
 	return sum
 }
 
-// since gives what was counted behind a grain.
+// since returns the sum of the buckets after number.
 func (u *usage) since(number int64) float64 {
 	return u.last(int(max(u.first+int64(len(u.counts))-1-number, 0)))
 }
--- a/services/retry/budget.go
+++ b/services/retry/budget.go
@@ -2,55 +2,54 @@
 
 import "sync"
 
-// Budget bounds retries: each call earns a part of one, so that retries stay a
-// small share of the load however many calls fail. It starts with nothing saved. Set the
-// fields before use.
+// Budget bounds retries: each call deposits a fraction of one, so that retries stay a small part
+// of the load however many calls fail. It starts empty. Set the fields before use.
 type Budget struct {
-	// Ratio is the part of a retry that a call earns.
+	// Ratio is the fraction of a retry that a call deposits.
 	Ratio float64
-	// Max bounds the retries that are saved up.
+	// Max bounds the balance, in retries.
 	Max float64
 
-	mu     sync.Mutex
-	tokens float64
+	mu      sync.Mutex
+	balance float64
 }
 
-// Deposit notes a call.
+// Deposit records a call.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.Ratio, b.Max)
+	b.balance = min(b.balance+b.Ratio, b.Max)
 }
 
-// TryWithdraw takes one retry from the budget, if there is one.
+// TryWithdraw takes one retry from the budget and reports whether there was one.
 func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.tokens < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.tokens--
+	b.balance--
 	return true
 }
 
-// SetMax changes how many retries are saved up.
-func (b *Budget) SetMax(most float64) {
+// SetMax changes the bound of the balance.
+func (b *Budget) SetMax(limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.Max = most
-	b.tokens = min(b.tokens, most)
+	b.Max = limit
+	b.balance = min(b.balance, limit)
 }
 
-// Fill saves up all that may be.
+// Fill sets the balance to its maximum.
 func (b *Budget) Fill() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = b.Max
+	b.balance = b.Max
 }
 
-// SetRatio changes the part of a retry that a call earns.
-func (b *Budget) SetRatio(part float64) {
+// SetRatio changes the fraction of a retry that a call deposits.
+func (b *Budget) SetRatio(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.Ratio = part
+	b.Ratio = ratio
 }
--- a/services/route/check.go
+++ b/services/route/check.go
@@ -9,29 +9,28 @@
 	"github.com/runworks/runworks"
 )
 
-// Check gives all mistakes of a routing in one error; nil means that it may be
-// put in force.
+// Check returns all errors of a routing, joined; nil means that it may become active.
 func Check(r *runworks.Routing) error {
 	services := map[string]bool{}
 	for _, s := range r.Services {
 		services[s.Name] = true
 	}
-	var list []error
-	for _, one := range r.Routes {
-		if !strings.HasPrefix(one.PathPrefix, "/") || !strings.HasSuffix(one.PathPrefix, "/") {
-			list = append(list, errorx.IllegalFormat.New("route %s: the path prefix %q does not begin and end with a slash", one.Name, one.PathPrefix))
+	var errs []error
+	for _, route := range r.Routes {
+		if !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/") {
+			errs = append(errs, errorx.IllegalFormat.New("route %s: the path prefix %q does not begin and end with a slash", route.Name, route.PathPrefix))
 		}
-		if len(one.Shares) == 0 {
-			list = append(list, errorx.IllegalFormat.New("route %s: no service takes its calls", one.Name))
+		if len(route.Shares) == 0 {
+			errs = append(errs, errorx.IllegalFormat.New("route %s: no service takes its calls", route.Name))
 		}
-		for _, s := range one.Shares {
+		for _, s := range route.Shares {
 			if !services[s.Service] {
-				list = append(list, errorx.IllegalFormat.New("route %s: there is no service %q", one.Name, s.Service))
+				errs = append(errs, errorx.IllegalFormat.New("route %s: there is no service %q", route.Name, s.Service))
 			}
 			if s.Weight < 0 {
-				list = append(list, errorx.IllegalFormat.New("route %s: the weight %d is negative", one.Name, s.Weight))
+				errs = append(errs, errorx.IllegalFormat.New("route %s: the weight %d is negative", route.Name, s.Weight))
 			}
 		}
 	}
-	return errors.Join(list...)
+	return errors.Join(errs...)
 }
--- a/services/route/doc.go
+++ b/services/route/doc.go
@@ -1,3 +1,2 @@
-// Package route finds the route, the customer and the service of a call in the
-// routing in force.
+// Package route finds the route, the customer and the service of a call in the active routing.
 package route
--- a/services/route/table.go
+++ b/services/route/table.go
@@ -9,8 +9,7 @@
 	"github.com/runworks/runworks"
 )
 
-// Table is a routing with the look-ups that calls need. It is never changed
-// once built.
+// Table is an immutable routing with the indexes that calls need.
 type Table struct {
 	Routing *runworks.Routing
 
@@ -20,7 +19,7 @@
 	services  map[string]bool
 }
 
-// NewTable builds the look-ups of a routing.
+// NewTable builds the indexes of a routing.
 func NewTable(r *runworks.Routing) *Table {
 	t := &Table{
 		Routing: r, hosts: map[string][]*runworks.Route{},
@@ -30,8 +29,8 @@
 		t.services[r.Services[i].Name] = true
 	}
 	for i := range r.Routes {
-		one := &r.Routes[i]
-		t.hosts[one.Host] = append(t.hosts[one.Host], one)
+		route := &r.Routes[i]
+		t.hosts[route.Host] = append(t.hosts[route.Host], route)
 	}
 	for _, list := range t.hosts {
 		sort.SliceStable(list, func(i, j int) bool { return len(list[i].PathPrefix) > len(list[j].PathPrefix) })
@@ -44,20 +43,20 @@
 	return t
 }
 
-// HasService says whether the routing holds a service.
+// HasService reports whether the routing contains a service.
 func (t *Table) HasService(service string) bool { return t.services[service] }
 
-// Route gives the route with the longest path prefix; ErrNoRoute if there is none.
+// Route returns the route with the longest matching path prefix; ErrNoRoute if there is none.
 func (t *Table) Route(host, path string) (*runworks.Route, error) {
-	for _, one := range t.hosts[host] {
-		if strings.HasPrefix(path, one.PathPrefix) {
-			return one, nil
+	for _, route := range t.hosts[host] {
+		if strings.HasPrefix(path, route.PathPrefix) {
+			return route, nil
 		}
 	}
 	return nil, runworks.ErrNoRoute
 }
 
-// Customer gives who calls a route with a key: nil for a public route, or where
+// Customer returns the customer that calls a route with a key: nil for a public route, or where
 // the routing has no customers. The errors are ErrNoKey and ErrUnknownKey.
 func (t *Table) Customer(r *runworks.Route, key string) (*runworks.RoutedCustomer, error) {
 	if len(t.Routing.Customers) == 0 {
@@ -76,8 +75,8 @@
 	return customer, nil
 }
 
-// PickService gives the service that takes a call: the weights' parts of the ids, so
-// that every entry chooses alike. It is empty for a route without services.
+// PickService returns the service for a call. It divides the hashes of the IDs by weight, so that
+// every entry picks the same. It is empty for a route without services.
 func PickService(r *runworks.Route, id runworks.RequestID) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/services/route/table_test.go
+++ b/services/route/table_test.go
@@ -11,8 +11,8 @@
 	"github.com/runworks/runworks"
 )
 
-// TestTableScripts asks a routing, read from the data file, for routes and
-// customers, and checks routings that have mistakes.
+// TestTableScripts looks up routes and customers in a routing from the data file, and checks
+// invalid routings.
 func TestTableScripts(t *testing.T) {
 	var routing *runworks.Routing
 	datadriven.RunTest(t, "testdata/routes", func(t *testing.T, d *datadriven.TestData) string {
@@ -34,8 +34,8 @@
 	})
 }
 
-// readRouting reads lines: service NAME; route NAME HOST PREFIX SERVICE [public];
-// customer NAME KEY.
+// readRouting reads lines: service NAME; route NAME HOST PREFIX SERVICE [public]; customer NAME
+// KEY.
 func readRouting(text string) *runworks.Routing {
 	r := &runworks.Routing{}
 	for _, line := range strings.Split(text, "\n") {
@@ -71,8 +71,8 @@
 	return fmt.Sprintf("%s for %s\n", one.Name, customer.Name)
 }
 
-// TestShare deals calls out by weight, the same at every front.
-func TestShare(t *testing.T) {
+// TestShare checks that calls are divided by weight, the same at every front.
+func TestPickService(t *testing.T) {
 	is := is.New(t)
 	r := &runworks.Route{Shares: []runworks.ServiceShare{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	n := map[string]int{}
--- a/services/serverlimit/limit.go
+++ b/services/serverlimit/limit.go
@@ -7,146 +7,146 @@
 	"github.com/runworks/runworks"
 )
 
-// endAfter is for how long a limit is still kept after an answer that names none. Answers
-// overtake each other on their connections, and what other entries tell comes later still:
-// a limit that was let go for a moment would let all of them fill the server's slots. Some
-// times the time that an answer's head takes.
-const endAfter = time.Second
-
-// Limit is a backend server's limit as one entry knows it, and its part of it. The zero
-// value is none. It takes no lock.
+// clearDelay is how long a limit is kept after a response without one. Responses overtake each
+// other on their connections, and notices from other entries arrive later still: a limit that was
+// dropped for a moment would let all of them fill the server's slots. It is several times what a
+// response header takes.
+const clearDelay = time.Second
+
+// Limit is a backend server's rate limit as one entry knows it, with the entry's share of it. The
+// zero value is no limit. It is not safe for concurrent use.
 type Limit struct {
 	perSecond float64
-	// named is when the server named a limit last, as far as is known; zero is never.
-	named time.Time
-	// ended is when it first named none since; zero if it still does.
-	ended time.Time
-	part  Share
-	// level is how many requests were at hand at the time at.
-	level float64
-	at    time.Time
-	// borrowed is how many more another entry gave.
-	borrowed int
-	// fresh says that the entry was given no part yet since the limit was named first.
-	fresh bool
+	// setAt is when the server last reported a limit, as far as is known; zero if it never did.
+	setAt time.Time
+	// clearedAt is when it first reported none since; zero if it still reports one.
+	clearedAt time.Time
+	share     Share
+	// permits is the number of permits at filledAt.
+	permits  float64
+	filledAt time.Time
+	// transferred is the number of permits that other entries donated.
+	transferred int
+	// awaitingShare means that the entry has no share yet since the limit became active.
+	awaitingShare bool
 }
 
-// Set takes a server's word that it has a limit, given at a time, and says whether anything
-// is new in it. Of two words the newer counts.
+// Set applies a server's report of its limit in requests a second, made at a time, and reports
+// whether the limit changed. An older report than the last is ignored.
 func (l *Limit) Set(now, at time.Time, perSecond float64) bool {
-	inForce := l.Active(now)
-	if inForce && (!at.After(l.named) || at.Before(l.ended)) {
+	active := l.Active(now)
+	if active && (!at.After(l.setAt) || at.Before(l.clearedAt)) {
 		return false
 	}
-	if !inForce {
-		*l = Limit{at: now, fresh: true}
+	if !active {
+		*l = Limit{filledAt: now, awaitingShare: true}
 	}
-	news := !inForce || perSecond != l.perSecond || !l.ended.IsZero()
-	l.perSecond, l.named, l.ended = perSecond, at, time.Time{}
-	return news
+	changed := !active || perSecond != l.perSecond || !l.clearedAt.IsZero()
+	l.perSecond, l.setAt, l.clearedAt = perSecond, at, time.Time{}
+	return changed
 }
 
-// Clear takes an answer without a limit that came at a time, to a request that was sent at
-// another: it says nothing if the server named a limit since then. The result says whether
-// anything is new in it.
+// Clear applies a response without a limit that arrived at a time, to a request that was sent at
+// another. It is ignored if the server reported a limit since the request was sent. It reports
+// whether the limit changed.
 func (l *Limit) Clear(now, at, sent time.Time) bool {
-	if !l.Active(now) || !l.ended.IsZero() || !sent.After(l.named) {
+	if !l.Active(now) || !l.clearedAt.IsZero() || !sent.After(l.setAt) {
 		return false
 	}
-	l.ended = at
+	l.clearedAt = at
 	return true
 }
 
-// Active says whether a limit holds.
+// Active reports whether a limit applies.
 func (l *Limit) Active(now time.Time) bool {
-	return !l.named.IsZero() && (l.ended.IsZero() || now.Sub(l.ended) < endAfter)
+	return !l.setAt.IsZero() && (l.clearedAt.IsZero() || now.Sub(l.clearedAt) < clearDelay)
 }
 
-// Expired says whether a limit was named that holds no more.
-func (l *Limit) Expired(now time.Time) bool { return !l.named.IsZero() && !l.Active(now) }
+// Expired reports whether a limit was set that no longer applies.
+func (l *Limit) Expired(now time.Time) bool { return !l.setAt.IsZero() && !l.Active(now) }
 
-// Reported is the server's newest word, and when it was given.
+// Reported returns the server's last report, and when it was made.
 func (l *Limit) Reported() (runworks.RateLimit, time.Time) {
 	switch {
-	case l.named.IsZero():
+	case l.setAt.IsZero():
 		return runworks.RateLimit{}, time.Time{}
-	case !l.ended.IsZero():
-		return runworks.RateLimit{}, l.ended
+	case !l.clearedAt.IsZero():
+		return runworks.RateLimit{}, l.clearedAt
 	}
-	return runworks.RateLimit{Named: true, PerSecond: l.perSecond}, l.named
+	return runworks.RateLimit{Named: true, PerSecond: l.perSecond}, l.setAt
 }
 
-// PerSecond is the limit in requests a second from all entries together.
+// PerSecond returns the limit in requests a second from all entries together.
 func (l *Limit) PerSecond() float64 { return l.perSecond }
 
-// Share is this entry's part of the limit.
-func (l *Limit) Share() Share { return l.part }
+// Share returns this entry's share of the limit.
+func (l *Limit) Share() Share { return l.share }
 
-// SetShare gives the entry its part from now on. A later one begins with no request at hand: the
-// entry whose part this was may just have sent its own.
-func (l *Limit) SetShare(now time.Time, part Share) {
+// SetShare sets the entry's share from now on. A share that is set later starts without permits:
+// the entry whose share it was may just have used its own.
+func (l *Limit) SetShare(now time.Time, share Share) {
 	l.fill(now)
-	if l.fresh {
-		l.level, l.fresh = part.Initial, false
+	if l.awaitingShare {
+		l.permits, l.awaitingShare = share.Initial, false
 	}
-	l.part = part
-	l.level = min(l.level, part.Burst)
+	l.share = share
+	l.permits = min(l.permits, share.Burst)
 }
 
-// Admits says whether the entry may send a request now.
+// Admits reports whether the entry may send a request now.
 func (l *Limit) Admits(now time.Time) bool { return l.Wait(now) == 0 }
 
-// Wait is in how many seconds the entry may send a request; infinite if it has no part.
+// Wait returns in how many seconds the entry may send a request; infinity if it has no share.
 func (l *Limit) Wait(now time.Time) float64 {
 	if !l.Active(now) {
 		return 0
 	}
 	l.fill(now)
 	switch {
-	case l.level >= 1 || l.borrowed > 0:
+	case l.permits >= 1 || l.transferred > 0:
 		return 0
-	case l.part.PerSecond == 0:
+	case l.share.PerSecond == 0:
 		return math.Inf(1)
 	}
-	return (1 - l.level) / l.part.PerSecond
+	return (1 - l.permits) / l.share.PerSecond
 }
 
-// Consume counts a request that is sent.
+// Consume uses a permit for a request that is sent, a transferred one first.
 func (l *Limit) Consume(now time.Time) {
 	if !l.Active(now) {
 		return
 	}
 	l.fill(now)
-	if l.borrowed > 0 {
-		l.borrowed--
+	if l.transferred > 0 {
+		l.transferred--
 		return
 	}
-	l.level--
+	l.permits--
 }
 
-// Donate gives requests at hand away, so many at most, and says how many: who takes them sends
-// them in this entry's place.
+// Donate gives up to that many permits to another entry, which uses them in this entry's place,
+// and returns how many.
 func (l *Limit) Donate(now time.Time, requests int) int {
 	if !l.Active(now) {
 		return 0
 	}
 	l.fill(now)
-	n := min(max(requests, 0), max(int(l.level), 0))
-	l.level -= float64(n)
+	n := min(max(requests, 0), max(int(l.permits), 0))
+	l.permits -= float64(n)
 	return n
 }
 
-// AddTransferred takes requests that another entry gave away. They are to be sent now: what is not
-// is lost with Drop, so that what all have at hand stays what it was.
-func (l *Limit) AddTransferred(requests int) { l.borrowed += requests }
+// AddTransferred adds permits that another entry donated. They must be used now: DropTransferred
+// discards the others, so that the entries' permits do not add up to more than before.
+func (l *Limit) AddTransferred(requests int) { l.transferred += requests }
 
-// DropTransferred forgets borrowed requests that were not sent.
-func (l *Limit) DropTransferred() { l.borrowed = 0 }
+// DropTransferred discards transferred permits that were not used.
+func (l *Limit) DropTransferred() { l.transferred = 0 }
 
-// fill counts what the rate gave since the last look.
+// fill adds the permits that the share's rate yields since the last call.
 func (l *Limit) fill(now time.Time) {
-	if since := now.Sub(l.at); since > 0 {
-		l.level = min(l.level+since.Seconds()*l.part.PerSecond, l.part.Burst)
-		l.at = now
+	if since := now.Sub(l.filledAt); since > 0 {
+		l.permits = min(l.permits+since.Seconds()*l.share.PerSecond, l.share.Burst)
+		l.filledAt = now
 	}
 }
--- a/services/serverlimit/limit_test.go
+++ b/services/serverlimit/limit_test.go
@@ -14,8 +14,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestLimit plays the words of servers and the sends of one entry from the data file: each
-// line begins with its time in milliseconds.
+// TestLimit runs a server's reports and one entry's requests from the data file. Each line begins
+// with its time in milliseconds.
 func TestLimit(t *testing.T) {
 	datadriven.RunTest(t, "testdata/limit", func(t *testing.T, d *datadriven.TestData) string {
 		var l Limit
@@ -29,20 +29,20 @@
 			}
 			at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 			now := at(ms)
-			words := strings.SplitN(line, " ", 3)
-			rest := words[len(words)-1]
+			fields := strings.SplitN(line, " ", 3)
+			rest := fields[len(fields)-1]
 			var err error
 			switch verb {
-			case "name": // the limit, and when the server gave its word
+			case "set": // the limit, and when the server reported it
 				_, err = fmt.Sscan(rest, &perSecond, &other)
 				fmt.Fprintf(&out, "%d news=%t\n", ms, l.Set(now, at(other), perSecond))
-			case "end": // when the request was sent
+			case "clear": // when the request was sent
 				_, err = fmt.Sscan(rest, &other)
 				fmt.Fprintf(&out, "%d news=%t\n", ms, l.Clear(now, now, at(other)))
-			case "share": // how many come before it, of how many
+			case "share": // the entry's index, and the number of entries
 				_, err = fmt.Sscan(rest, &other, &n)
 				l.SetShare(now, ShareOf(l.PerSecond(), other, n))
-			case "send": // tries so many
+			case "send": // the number of requests
 				_, err = fmt.Sscan(rest, &n)
 				sent := 0
 				for range n {
@@ -52,10 +52,10 @@
 					}
 				}
 				fmt.Fprintf(&out, "%d sent=%d next=%.2f\n", ms, sent, l.Wait(now))
-			case "lend": // asks for so many
+			case "donate": // the number of permits requested
 				_, err = fmt.Sscan(rest, &n)
 				fmt.Fprintf(&out, "%d lent=%d next=%.2f\n", ms, l.Donate(now, n), l.Wait(now))
-			case "borrow": // so many, of which some are sent
+			case "transfer": // the number of permits, and of requests sent
 				_, err = fmt.Sscan(rest, &n, &other)
 				l.AddTransferred(n)
 				for range other {
@@ -64,8 +64,8 @@
 				fmt.Fprintf(&out, "%d next=%.2f\n", ms, l.Wait(now))
 				l.DropTransferred()
 			case "state":
-				word, given := l.Reported()
-				fmt.Fprintf(&out, "%d in-force=%t over=%t word=%+v of %d\n", ms, l.Active(now), l.Expired(now), word, max(given.Sub(start), 0).Milliseconds())
+				reported, given := l.Reported()
+				fmt.Fprintf(&out, "%d in-force=%t over=%t word=%+v of %d\n", ms, l.Active(now), l.Expired(now), reported, max(given.Sub(start), 0).Milliseconds())
 			default:
 				d.Fatalf(t, "no verb %s", verb)
 			}
@@ -77,32 +77,32 @@
 	})
 }
 
-// TestParts adds the parts of all entries up: no more than the limit, or than the least rate,
-// and all that they may send at once no more than a second's worth and Extra. Who has a part
-// may send a whole request.
-func TestParts(t *testing.T) {
+// TestShares checks the sum of all entries' shares: the rates add up to the limit or the minimum
+// rate, and the bursts to no more than a second's worth and ExtraBurst. An entry with a share may
+// send a whole request.
+func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.OneOf(rapid.Float64Range(0, 3), rapid.Float64Range(0, 2000), rapid.Just(1e300)).Draw(t, "limit")
 		entries := rapid.IntRange(1, 400).Draw(t, "entries")
 		var rate, atOnce float64
 		for ahead := range entries {
-			part := ShareOf(limit, ahead, entries)
-			rate += part.PerSecond
-			atOnce += part.Burst
-			if part.PerSecond > 0 && part.Burst < 1 {
-				t.Fatalf("%+v gives nothing", part)
+			share := ShareOf(limit, ahead, entries)
+			rate += share.PerSecond
+			atOnce += share.Burst
+			if share.PerSecond > 0 && share.Burst < 1 {
+				t.Fatalf("%+v admits nothing", share)
 			}
 		}
-		limit = max(limit, leastRate)
+		limit = max(limit, minRate)
 		if math.Abs(rate-limit) > 1e-6*limit || atOnce > (limit+ExtraBurst)*(1+1e-6) {
 			t.Fatalf("%g a second and %g at once, of %g", rate, atOnce, limit)
 		}
 	})
 }
 
-// TestPartsInSpan has all entries send what they may, whenever they like: in any four
-// seconds the server gets at most one and a half times its limit and five requests more.
-func TestPartsInSpan(t *testing.T) {
+// TestSharesInSpan has all entries send what they may at random times: in any four seconds the
+// server gets at most one and a half times its limit and five requests more.
+func TestSharesInSpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 4 * time.Second
 		perSecond := rapid.OneOf(rapid.Float64Range(0, 3), rapid.Float64Range(0, 100)).Draw(t, "limit")
@@ -134,7 +134,7 @@
 	})
 }
 
-// TestNoLimit lets everything pass, and tells nothing.
+// TestNoLimit checks that without a limit every request is admitted and nothing is reported.
 func TestNoLimit(t *testing.T) {
 	is := is.New(t)
 	var l Limit
