--- a/cmd/runworks/status.go
+++ b/cmd/runworks/status.go
@@ -67,7 +67,7 @@
 	_, _ = fmt.Fprintln(out, "\nSlots, running and waiting are as each agent last reported, some seconds ago.")
 	_, _ = fmt.Fprintln(w, "HOST\tBACKEND SERVER\tCONNECTED\tLEAVING\tCONFIGURATION\tSLOTS\tRUNNING\tWAITING")
 	for _, a := range s.Agents {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%t\t%t\t%d\t%d\t%d\t%d\n", a.Host, a.Server, a.Connected, a.Leaving, a.Version, a.Slots, a.Running, a.Waiting)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%t\t%t\t%d\t%d\t%d\t%d\n", a.Host, a.Server, a.Connected, a.Draining, a.Version, a.Slots, a.Running, a.Waiting)
 	}
 	return w.Flush()
 }
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -104,7 +104,7 @@
 	if d.Config.Version() == 0 {
 		return runworks.ErrNotReady
 	}
-	if d.Agent.Beat().Leaving {
+	if d.Agent.Beat().Draining {
 		return runworks.ErrStopping
 	}
 	return nil
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -83,7 +83,7 @@
 	}
 	d.Config = follower(p, &s.Common)
 	d.Entry = &entry.Entry{
-		Name: s.Name, Hall: s.Hall, Program: Version, Config: d.Config, Hosts: p.Hosts, HostsPoll: s.HostsPoll,
+		Name: s.Name, Hall: s.Hall, Program: Version, Config: d.Config, Hosts: p.Hosts, HostsPollInterval: s.HostsPoll,
 		Dial: p.Dial, Keys: s.FleetKeys, Logger: p.Logger, Metrics: set, Tracer: p.Tracer,
 	}
 	if d.Tune != nil {
--- a/routers/callers/answer.go
+++ b/routers/callers/answer.go
@@ -23,7 +23,7 @@
 
 // writeAnswer passes an answer on to the caller. One that breaks after its head
 // was written ends the connection, so that it never looks finished.
-func writeAnswer(w http.ResponseWriter, id runworks.RequestID, answer *entry.Answer) {
+func writeAnswer(w http.ResponseWriter, id runworks.RequestID, answer *entry.Response) {
 	if isEventStream(answer) {
 		writeHead(w, answer)
 		_ = http.NewResponseController(w).Flush()
@@ -43,12 +43,12 @@
 	finish(w, id, err, false)
 }
 
-func isEventStream(answer *entry.Answer) bool {
+func isEventStream(answer *entry.Response) bool {
 	kind, _, _ := mime.ParseMediaType(http.Header(answer.Head.Header).Get("Content-Type"))
 	return kind == "text/event-stream"
 }
 
-func writeHead(w http.ResponseWriter, answer *entry.Answer) {
+func writeHead(w http.ResponseWriter, answer *entry.Response) {
 	for name, values := range endToEnd(answer.Head.Header) {
 		w.Header()[name] = values
 	}
--- a/routers/runs/runs.go
+++ b/routers/runs/runs.go
@@ -73,12 +73,12 @@
 	o := &agent.Order{
 		ID:          runworks.RequestID(params.ByName("id")),
 		Incarnation: runworks.Incarnation(r.Header.Get(control.HeaderIncarnation)),
-		Keep:        r.Header.Get(control.HeaderKeep) != "",
+		Keep:        r.Header.Get(control.HeaderRetain) != "",
 	}
 	if err := json.Unmarshal([]byte(r.Header.Get(control.HeaderCall)), &o.Call); err != nil {
 		return nil, err
 	}
-	left, err := time.ParseDuration(r.Header.Get(control.HeaderLeft))
+	left, err := time.ParseDuration(r.Header.Get(control.HeaderRemaining))
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 
 func (rt *Routes) cancel(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	if runworks.Incarnation(r.Header.Get(control.HeaderIncarnation)) != rt.Agent.Incarnation() {
-		refuse(w, &agent.Refusal{State: control.StateForgotten})
+		refuse(w, &agent.Refusal{State: control.StateUnknown})
 		return
 	}
 	rt.Agent.Cancel(runworks.RequestID(params.ByName("id")))
--- a/services/agent/agent.go
+++ b/services/agent/agent.go
@@ -107,7 +107,7 @@
 
 func (a *Agent) defaults() {
 	if a.BeatEvery <= 0 {
-		a.BeatEvery = control.BeatEvery
+		a.BeatEvery = control.HeartbeatInterval
 	}
 	if a.MaxWaiting <= 0 {
 		a.MaxWaiting = DefaultMaxWaiting
@@ -174,15 +174,15 @@
 }
 
 // Beat tells how busy the agent is.
-func (a *Agent) Beat() control.Beat {
+func (a *Agent) Beat() control.Heartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.beatLocked()
 }
 
-func (a *Agent) beatLocked() control.Beat {
-	return control.Beat{
-		Version: a.Config.Version(), Leaving: a.leaving,
+func (a *Agent) beatLocked() control.Heartbeat {
+	return control.Heartbeat{
+		Version: a.Config.Version(), Draining: a.leaving,
 		Slots: a.slots, Running: a.busyLocked(), Waiting: a.queue.Len(),
 	}
 }
--- a/services/agent/agent_test.go
+++ b/services/agent/agent_test.go
@@ -95,8 +95,8 @@
 		defer a.Close()
 		other := a.order("1.1")
 		other.Incarnation = "another life"
-		wantState(t, a.StartRun(t.Context(), other), control.StateForgotten)
-		wantState(t, a.StartRun(t.Context(), a.order("2.1")), control.StateForgotten)
+		wantState(t, a.StartRun(t.Context(), other), control.StateUnknown)
+		wantState(t, a.StartRun(t.Context(), a.order("2.1")), control.StateUnknown)
 		is.NoErr(a.StartRun(t.Context(), a.order("1.1")))
 		wantState(t, a.StartRun(t.Context(), a.order("1.1")), control.StateRunning)
 		synctest.Wait()
@@ -112,7 +112,7 @@
 		backend := &fakeBackend{}
 		a, _ := newTestAgent(t, backend)
 		defer a.Close()
-		time.Sleep(control.GrantLimit + time.Millisecond)
+		time.Sleep(control.GrantTimeout + time.Millisecond)
 		wantState(t, a.StartRun(t.Context(), a.order("1.1")), control.StateTombstoned)
 		is.Equal(backend.calls, 0)
 		is.Equal(a.Beat().Running, 0) // its slot is free
@@ -126,10 +126,10 @@
 		backend := &fakeBackend{}
 		a, _ := newTestAgent(t, backend)
 		defer a.Close()
-		is.Equal(a.Revoke(control.Revoke{ID: "1.1", OnlyAsk: true}), control.StateClaimed)
+		is.Equal(a.Revoke(control.Revoke{ID: "1.1", QueryOnly: true}), control.StateClaimed)
 		is.Equal(a.Revoke(control.Revoke{ID: "1.1"}), control.StateTombstoned)
 		wantState(t, a.StartRun(t.Context(), a.order("1.1")), control.StateTombstoned)
-		is.Equal(a.Revoke(control.Revoke{ID: "unheard of"}), control.StateForgotten)
+		is.Equal(a.Revoke(control.Revoke{ID: "unheard of"}), control.StateUnknown)
 		is.Equal(backend.calls, 0)
 	})
 }
@@ -200,9 +200,9 @@
 		time.Sleep(time.Minute)
 		_, err = a.Open("1.1", a.incarnation)
 		wantState(t, err, control.StateEnded)
-		time.Sleep(control.RunKeep)
+		time.Sleep(control.RunRetention)
 		_, err = a.Open("1.1", a.incarnation)
-		wantState(t, err, control.StateForgotten)
+		wantState(t, err, control.StateUnknown)
 	})
 }
 
--- a/services/agent/claim.go
+++ b/services/agent/claim.go
@@ -57,7 +57,7 @@
 // claim asks the entry. After a lost answer the request may have been granted,
 // so the record stays until no grant can be valid any more.
 func (a *Agent) claim(l *link, r *run) {
-	ctx, cancel := context.WithTimeout(a.life, control.GrantLimit)
+	ctx, cancel := context.WithTimeout(a.life, control.GrantTimeout)
 	defer cancel()
 	var reply control.ClaimReply
 	err := l.conn.Call(ctx, control.MethodClaim, control.Claim{ID: r.id}, &reply)
@@ -71,7 +71,7 @@
 		a.release(r)
 		return
 	}
-	a.expireAt(r, r.asked.Add(control.GrantLimit))
+	a.expireAt(r, r.asked.Add(control.GrantTimeout))
 }
 
 // release forgets a claim that was not granted.
--- a/services/agent/drain.go
+++ b/services/agent/drain.go
@@ -17,12 +17,12 @@
 	}
 	a.leaving = true
 	a.Logger.Info("leaving: no new work", "server", a.Server)
-	a.giveBackLocked(control.RefusedLeaving)
+	a.giveBackLocked(control.RefusedDraining)
 	beat := a.beatLocked()
 	links := a.linksLocked()
 	a.mu.Unlock()
 	for _, l := range links {
-		_ = l.conn.Notify(a.life, control.MethodBeat, beat)
+		_ = l.conn.Notify(a.life, control.MethodHeartbeat, beat)
 	}
 }
 
--- a/services/agent/handover.go
+++ b/services/agent/handover.go
@@ -18,7 +18,7 @@
 		return
 	}
 	a.mu.Lock()
-	hand := control.KeyHand{Service: now.Place(a.Server).Service.Name, Server: a.Server, Records: a.keys.Close()}
+	hand := control.KeyHandover{Service: now.Place(a.Server).Service.Name, Server: a.Server, Records: a.keys.Close()}
 	links := a.linksLocked()
 	a.mu.Unlock()
 	if len(hand.Records) == 0 {
@@ -33,24 +33,24 @@
 	a.Logger.Warn("keys not handed over: their calls will be told unknown", "records", len(hand.Records))
 }
 
-func (l *link) handOver(ctx context.Context, hand *control.KeyHand) bool {
+func (l *link) handOver(ctx context.Context, hand *control.KeyHandover) bool {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	var reply control.KeyHandReply
-	err := l.conn.Call(ctx, control.MethodKeyHand, hand, &reply)
-	return err == nil && reply.Taken
+	var reply control.KeyHandoverReply
+	err := l.conn.Call(ctx, control.MethodKeyHandover, hand, &reply)
+	return err == nil && reply.Accepted
 }
 
 // take keeps the records of another home.
-func (a *Agent) take(hand *control.KeyHand) control.KeyHandReply {
+func (a *Agent) take(hand *control.KeyHandover) control.KeyHandoverReply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.leaving {
-		return control.KeyHandReply{}
+		return control.KeyHandoverReply{}
 	}
 	a.keys.Take(time.Now(), hand.Records)
 	metrics.Add(a.Metrics.Keys, len(hand.Records), metrics.Result("taken-over"))
-	return control.KeyHandReply{Taken: true}
+	return control.KeyHandoverReply{Accepted: true}
 }
 
 // look tells what another home knew of a key.
--- a/services/agent/keys.go
+++ b/services/agent/keys.go
@@ -25,26 +25,26 @@
 		l.agent.mu.Lock()
 		defer l.agent.mu.Unlock()
 		return control.KeyBindReply{Bound: l.agent.keys.Bind(&b)}, nil
-	case control.MethodKeyHand:
-		var hand control.KeyHand
+	case control.MethodKeyHandover:
+		var hand control.KeyHandover
 		if err := control.Decode(params, &hand); err != nil {
 			return nil, err
 		}
 		return l.agent.take(&hand), nil
-	case control.MethodKeyLook:
+	case control.MethodKeyLookup:
 		var c control.KeyClaim
 		if err := control.Decode(params, &c); err != nil {
 			return nil, err
 		}
 		return l.agent.look(&c), nil
 	}
-	var e control.KeyEnd
+	var e control.KeyRelease
 	if err := control.Decode(params, &e); err != nil {
 		return nil, err
 	}
 	l.agent.mu.Lock()
 	defer l.agent.mu.Unlock()
-	return control.KeyEndReply{Ended: l.agent.keys.End(&e)}, nil
+	return control.KeyReleaseReply{Released: l.agent.keys.End(&e)}, nil
 }
 
 // keyClaim decides about a key, if this agent is its home by a configuration
@@ -53,7 +53,7 @@
 	now := a.Config.InForce()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reply := control.KeyReply{Verdict: control.KeyNotHome}
+	reply := control.KeyReply{Verdict: control.KeyNotOwner}
 	known := now != nil && now.Version >= c.Version
 	if known && !a.leaving && now.Home(c.Service, c.Customer, c.Key) == a.Server {
 		elsewhere := func(since time.Time) bool { return a.elsewhereLocked(c, since) }
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -57,10 +57,10 @@
 			return
 		case <-ticker.C:
 		}
-		if time.Since(l.lastHeard()) > control.BeatLimit {
+		if time.Since(l.lastHeard()) > control.HeartbeatTimeout {
 			return
 		}
-		_ = l.conn.Notify(ctx, control.MethodBeat, l.agent.Beat())
+		_ = l.conn.Notify(ctx, control.MethodHeartbeat, l.agent.Beat())
 		l.catchUp(ctx)
 	}
 }
@@ -97,22 +97,22 @@
 	switch method {
 	case control.MethodHello:
 		return l.hello(params)
-	case control.MethodBeat:
+	case control.MethodHeartbeat:
 		return nil, l.beat(params)
-	case control.MethodTickets:
+	case control.MethodReservations:
 		return nil, l.tickets(ctx, params)
 	case control.MethodRevoke:
 		return l.revoke(params)
 	case control.MethodConfig:
 		return l.agent.document(), nil
-	case control.MethodKeyClaim, control.MethodKeyBind, control.MethodKeyEnd, control.MethodKeyHand, control.MethodKeyLook:
+	case control.MethodKeyClaim, control.MethodKeyBind, control.MethodKeyRelease, control.MethodKeyHandover, control.MethodKeyLookup:
 		return l.key(method, params)
 	}
 	return nil, errorx.UnsupportedOperation.New("method %q is not known", method)
 }
 
 func (l *link) beat(params json.RawMessage) error {
-	var b control.Beat
+	var b control.Heartbeat
 	if err := control.Decode(params, &b); err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	if old != nil {
 		_ = old.conn.Close()
 	}
-	reply := control.HelloReply{Server: a.Server, Beat: beat}
+	reply := control.HelloReply{Server: a.Server, Heartbeat: beat}
 	reply.Hello = control.Hello{Program: a.Program, Name: a.Name, Incarnation: a.incarnation, Version: beat.Version}
 	return reply, nil
 }
@@ -167,13 +167,13 @@
 
 // tickets takes a batch and tells the entry which ones are not held.
 func (l *link) tickets(ctx context.Context, params json.RawMessage) error {
-	var t control.Tickets
+	var t control.Reservations
 	if err := control.Decode(params, &t); err != nil {
 		return err
 	}
 	a := l.agent
 	a.mu.Lock()
-	var refused control.Refused
+	var refused control.Refusals
 	for i := range t.Place {
 		if reason := a.offerLocked(l, &t.Place[i]); reason != "" {
 			refused.List = append(refused.List, control.Refusal{ID: t.Place[i].ID, Reason: reason})
@@ -186,7 +186,7 @@
 	a.scheduleLocked()
 	a.mu.Unlock()
 	if len(refused.List) > 0 {
-		_ = l.conn.Notify(ctx, control.MethodRefused, refused)
+		_ = l.conn.Notify(ctx, control.MethodRefusals, refused)
 	}
 	return nil
 }
@@ -211,7 +211,7 @@
 	case reservation.Full:
 		return control.RefusedFull
 	case reservation.BelowFloor:
-		return control.RefusedFloor
+		return control.RefusedThreshold
 	}
 	return ""
 }
@@ -220,7 +220,7 @@
 func (a *Agent) closedLocked(now time.Time) control.RefusalReason {
 	switch {
 	case a.leaving:
-		return control.RefusedLeaving
+		return control.RefusedDraining
 	case a.slots == 0:
 		return control.RefusedUnserved
 	case now.Before(a.downTo):
@@ -236,8 +236,8 @@
 		return
 	}
 	metrics.Count(a.Metrics.TicketsRefused, metrics.Cause(string(reason)))
-	refused := control.Refused{List: []control.Refusal{{ID: w.ID, Reason: reason}}}
-	a.work.Go(func() { _ = l.conn.Notify(a.life, control.MethodRefused, refused) })
+	refused := control.Refusals{List: []control.Refusal{{ID: w.ID, Reason: reason}}}
+	a.work.Go(func() { _ = l.conn.Notify(a.life, control.MethodRefusals, refused) })
 }
 
 // giveBackLocked refuses all waiting tickets.
--- a/services/agent/run.go
+++ b/services/agent/run.go
@@ -70,15 +70,15 @@
 // backend server. The error is a Refusal if the request is not claimed.
 func (a *Agent) StartRun(ctx context.Context, o *Order) error {
 	if o.Incarnation != a.incarnation {
-		return &Refusal{State: control.StateForgotten}
+		return &Refusal{State: control.StateUnknown}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.runs[o.ID]
 	if r == nil {
-		return &Refusal{State: control.StateForgotten}
+		return &Refusal{State: control.StateUnknown}
 	}
-	if r.state == control.StateClaimed && time.Since(r.asked) > control.GrantLimit {
+	if r.state == control.StateClaimed && time.Since(r.asked) > control.GrantTimeout {
 		a.tombstoneLocked(r)
 	}
 	if r.state != control.StateClaimed {
@@ -113,9 +113,9 @@
 	defer a.mu.Unlock()
 	r := a.runs[m.ID]
 	if r == nil {
-		return control.StateForgotten
+		return control.StateUnknown
 	}
-	if !m.OnlyAsk {
+	if !m.QueryOnly {
 		a.tombstoneLocked(r)
 	}
 	return r.state
@@ -127,7 +127,7 @@
 	defer a.mu.Unlock()
 	r := a.runs[id]
 	if r == nil {
-		return control.StateForgotten
+		return control.StateUnknown
 	}
 	a.tombstoneLocked(r)
 	if r.cancel != nil && r.state == control.StateRunning {
@@ -155,13 +155,13 @@
 // the run did not start here or is no longer known.
 func (a *Agent) Open(id runworks.RequestID, incarnation runworks.Incarnation) (*Reader, error) {
 	if incarnation != a.incarnation {
-		return nil, &Refusal{State: control.StateForgotten}
+		return nil, &Refusal{State: control.StateUnknown}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r := a.runs[id]
 	if r == nil {
-		return nil, &Refusal{State: control.StateForgotten}
+		return nil, &Refusal{State: control.StateUnknown}
 	}
 	if r.answer == nil {
 		return nil, &Refusal{State: r.state}
--- a/services/agent/sweep.go
+++ b/services/agent/sweep.go
@@ -36,7 +36,7 @@
 		}
 		age := now.Sub(r.ended)
 		switch {
-		case age > control.RunKeep && (!r.keep || age > a.KeyKeep):
+		case age > control.RunRetention && (!r.keep || age > a.KeyKeep):
 			delete(a.runs, id)
 		case r.answer == nil:
 		case !r.keep && age > a.OrphanLimit:
--- a/services/control/messages.go
+++ b/services/control/messages.go
@@ -13,30 +13,30 @@
 const (
 	// MethodHello is the entry's first call: Hello for HelloReply.
 	MethodHello = "hello"
-	// MethodTickets is the entry's notification with Tickets.
-	MethodTickets = "tickets"
-	// MethodRefused is the agent's notification with Refused.
-	MethodRefused = "refused"
+	// MethodReservations is the entry's notification with Tickets.
+	MethodReservations = "tickets"
+	// MethodRefusals is the agent's notification with Refused.
+	MethodRefusals = "refused"
 	// MethodClaim is the agent's call: Claim for ClaimReply.
 	MethodClaim = "claim"
 	// MethodRevoke is the entry's call: Revoke for RevokeReply.
 	MethodRevoke = "revoke"
-	// MethodBeat is a notification of both sides: Beat.
-	MethodBeat = "beat"
+	// MethodHeartbeat is a notification of both sides: Beat.
+	MethodHeartbeat = "beat"
 	// MethodConfig is a call of both sides: no parameters for Document.
 	MethodConfig = "config"
 	// MethodKeyClaim is the entry's call at a key's home: KeyClaim for KeyReply.
 	MethodKeyClaim = "key.claim"
 	// MethodKeyBind is the entry's call at a key's home: KeyBind for KeyBindReply.
 	MethodKeyBind = "key.bind"
-	// MethodKeyHand is the call of an agent that stops, at an entry, and the
+	// MethodKeyHandover is the call of an agent that stops, at an entry, and the
 	// entry's at the agent's heir: KeyHand for KeyHandReply.
-	MethodKeyHand = "key.hand"
-	// MethodKeyLook is the entry's call at the heir of a key's home: KeyClaim for
+	MethodKeyHandover = "key.hand"
+	// MethodKeyLookup is the entry's call at the heir of a key's home: KeyClaim for
 	// KeyReply, which never lets the request run.
-	MethodKeyLook = "key.look"
-	// MethodKeyEnd is the entry's call at a key's home: KeyEnd for KeyEndReply.
-	MethodKeyEnd = "key.end"
+	MethodKeyLookup = "key.look"
+	// MethodKeyRelease is the entry's call at a key's home: KeyEnd for KeyEndReply.
+	MethodKeyRelease = "key.end"
 )
 
 // Hello opens a control connection.
@@ -53,12 +53,12 @@
 type HelloReply struct {
 	Hello
 	// Server is the backend server the agent stands beside.
-	Server string `json:"server"`
-	Beat   Beat   `json:"beat"`
+	Server    string    `json:"server"`
+	Heartbeat Heartbeat `json:"beat"`
 }
 
-// Tickets places and withdraws tickets, in this order.
-type Tickets struct {
+// Reservations places and withdraws tickets, in this order.
+type Reservations struct {
 	Place    []runworks.Reservation `json:"place,omitempty"`
 	Withdraw []runworks.RequestID   `json:"withdraw,omitempty"`
 }
@@ -68,11 +68,11 @@
 
 // The reasons of a refusal.
 const (
-	RefusedFull     RefusalReason = "full"
-	RefusedFloor    RefusalReason = "floor"
-	RefusedLeaving  RefusalReason = "leaving"
-	RefusedTooLate  RefusalReason = "too-late"
-	RefusedUnserved RefusalReason = "unserved"
+	RefusedFull      RefusalReason = "full"
+	RefusedThreshold RefusalReason = "floor"
+	RefusedDraining  RefusalReason = "leaving"
+	RefusedTooLate   RefusalReason = "too-late"
+	RefusedUnserved  RefusalReason = "unserved"
 	// RefusedDropped is a ticket that had been taken and made room for a higher tier.
 	RefusedDropped RefusalReason = "dropped"
 	// RefusedDown is a backend server that can't be reached just now.
@@ -85,8 +85,8 @@
 	Reason RefusalReason      `json:"reason"`
 }
 
-// Refused tells the entry which tickets the agent does not hold.
-type Refused struct {
+// Refusals tells the entry which tickets the agent does not hold.
+type Refusals struct {
 	List []Refusal `json:"list"`
 }
 
@@ -103,8 +103,8 @@
 // Revoke asks that a granted request be not run, or only for its state.
 type Revoke struct {
 	ID runworks.RequestID `json:"id"`
-	// OnlyAsk leaves a claimed request as it is.
-	OnlyAsk bool `json:"only_ask,omitempty"`
+	// QueryOnly leaves a claimed request as it is.
+	QueryOnly bool `json:"only_ask,omitempty"`
 }
 
 // RunState is what an agent knows of a request that it claimed.
@@ -120,8 +120,8 @@
 	StateEnded RunState = "ended"
 	// StateTombstoned has not run and never will, at this incarnation.
 	StateTombstoned RunState = "tombstoned"
-	// StateForgotten is not known to this incarnation: it proves nothing.
-	StateForgotten RunState = "forgotten"
+	// StateUnknown is not known to this incarnation: it proves nothing.
+	StateUnknown RunState = "forgotten"
 )
 
 // RevokeReply tells the state after the revoke.
@@ -129,12 +129,12 @@
 	State RunState `json:"state"`
 }
 
-// Beat says that the sender lives, and how busy it is.
-type Beat struct {
+// Heartbeat says that the sender lives, and how busy it is.
+type Heartbeat struct {
 	// Version is the configuration version in force at the sender.
 	Version int64 `json:"v"`
-	// Leaving is set when the sender takes no new work.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining is set when the sender takes no new work.
+	Draining bool `json:"leaving,omitempty"`
 	// Slots is the requests the agent runs at once; Running and Waiting are now.
 	Slots   int `json:"s,omitempty"`
 	Running int `json:"r,omitempty"`
@@ -173,26 +173,26 @@
 	KeyBound KeyVerdict = "bound"
 	// KeySpent belongs to a request that did not run and never will.
 	KeySpent KeyVerdict = "spent"
-	// KeyOther is used for another request.
-	KeyOther KeyVerdict = "other"
+	// KeyReused is used for another request.
+	KeyReused KeyVerdict = "other"
 	// KeyTooOld was minted before the home can tell; its request may have run.
 	KeyTooOld KeyVerdict = "too-old"
 	// KeyEarly was minted in the future.
 	KeyEarly KeyVerdict = "early"
-	// KeyNotHome is asked at an agent that is not the key's home.
-	KeyNotHome KeyVerdict = "not-home"
+	// KeyNotOwner is asked at an agent that is not the key's home.
+	KeyNotOwner KeyVerdict = "not-home"
 	// KeyFull finds no room for another key.
 	KeyFull KeyVerdict = "full"
 )
 
 // KeyReply answers a KeyClaim; Run is set for KeyBound.
 type KeyReply struct {
-	Verdict KeyVerdict `json:"verdict"`
-	Run     RunPlace   `json:"run"`
+	Verdict KeyVerdict  `json:"verdict"`
+	Run     RunLocation `json:"run"`
 }
 
-// RunPlace says where a request runs or ran.
-type RunPlace struct {
+// RunLocation says where a request runs or ran.
+type RunLocation struct {
 	ID          runworks.RequestID   `json:"id"`
 	Server      string               `json:"server"`
 	Incarnation runworks.Incarnation `json:"incarnation"`
@@ -201,9 +201,9 @@
 // KeyBind binds a key to the place its request is about to run at; only after
 // an accepted bind may the request run.
 type KeyBind struct {
-	Customer string   `json:"customer"`
-	Key      string   `json:"key"`
-	Run      RunPlace `json:"run"`
+	Customer string      `json:"customer"`
+	Key      string      `json:"key"`
+	Run      RunLocation `json:"run"`
 }
 
 // KeyBindReply says whether the bind holds.
@@ -211,40 +211,40 @@
 	Bound bool `json:"bound"`
 }
 
-// KeyEnd ends a key whose request provably did not run. With ID, the sender's
+// KeyRelease ends a key whose request provably did not run. With ID, the sender's
 // own request, the key is spent: no request ever runs under it. With Run, a run
 // that another call bound and that did not start, the key is free again.
-type KeyEnd struct {
+type KeyRelease struct {
 	Customer string             `json:"customer"`
 	Key      string             `json:"key"`
 	ID       runworks.RequestID `json:"id"`
 	Run      runworks.RequestID `json:"run,omitempty"`
 }
 
-// KeyEndReply says whether the end took effect.
-type KeyEndReply struct {
-	Ended bool `json:"ended"`
+// KeyReleaseReply says whether the end took effect.
+type KeyReleaseReply struct {
+	Released bool `json:"ended"`
 }
 
 // KeyRecord is what a home knows of one key, for its heir.
 type KeyRecord struct {
-	Customer string   `json:"customer"`
-	Key      string   `json:"key"`
-	Digest   string   `json:"digest"`
-	Run      RunPlace `json:"run"`
-	Spent    bool     `json:"spent,omitempty"`
+	Customer string      `json:"customer"`
+	Key      string      `json:"key"`
+	Digest   string      `json:"digest"`
+	Run      RunLocation `json:"run"`
+	Spent    bool        `json:"spent,omitempty"`
 }
 
-// KeyHand hands the records of a home over at its planned stop.
-type KeyHand struct {
+// KeyHandover hands the records of a home over at its planned stop.
+type KeyHandover struct {
 	Service string      `json:"service"`
 	Server  string      `json:"server"`
 	Records []KeyRecord `json:"records"`
 }
 
-// KeyHandReply says whether the heir has taken the records.
-type KeyHandReply struct {
-	Taken bool `json:"taken"`
+// KeyHandoverReply says whether the heir has taken the records.
+type KeyHandoverReply struct {
+	Accepted bool `json:"taken"`
 }
 
 // Headers of a run between entry and agent.
@@ -253,15 +253,15 @@
 	HeaderCall = "Runworks-Call"
 	// HeaderIncarnation names the agent's incarnation that was granted.
 	HeaderIncarnation = "Runworks-Incarnation"
-	// HeaderKeep asks that the run outlive the entry, as it has a key.
-	HeaderKeep = "Runworks-Keep"
+	// HeaderRetain asks that the run outlive the entry, as it has a key.
+	HeaderRetain = "Runworks-Keep"
 	// HeaderReply is the ReplyHead as JSON.
 	HeaderReply = "Runworks-Reply"
 	// HeaderRunOutcome is the trailer that ends a whole stream, and the header
 	// of a refused run.
 	HeaderRunOutcome = "Runworks-Run-Outcome"
-	// HeaderLeft is the time left to the request's limit, as a Go duration.
-	HeaderLeft = "Runworks-Left"
+	// HeaderRemaining is the time left to the request's limit, as a Go duration.
+	HeaderRemaining = "Runworks-Left"
 )
 
 // ReplyHead is the backend server's status and header.
@@ -280,14 +280,14 @@
 
 // Times that both sides of a control connection count on.
 const (
-	// BeatEvery is the time between two beats.
-	BeatEvery = 5 * time.Second
-	// BeatLimit is the silence after which a connection is given up.
-	BeatLimit = 12 * time.Second
-	// GrantLimit is how long after it asked an agent still starts a granted request.
-	GrantLimit = 2 * time.Second
-	// RunKeep is how long an agent remembers a request after its end.
-	RunKeep = 10 * time.Minute
+	// HeartbeatInterval is the time between two beats.
+	HeartbeatInterval = 5 * time.Second
+	// HeartbeatTimeout is the silence after which a connection is given up.
+	HeartbeatTimeout = 12 * time.Second
+	// GrantTimeout is how long after it asked an agent still starts a granted request.
+	GrantTimeout = 2 * time.Second
+	// RunRetention is how long an agent remembers a request after its end.
+	RunRetention = 10 * time.Minute
 	// RefusalWindow is how long a tier's refusal bars lower tiers at an agent,
 	// and how old a refusal may be to count for shedding at an entry.
 	RefusalWindow = time.Second
--- a/services/entry/answer.go
+++ b/services/entry/answer.go
@@ -16,9 +16,9 @@
 	"github.com/runworks/runworks/services/control"
 )
 
-// Answer is the answer to one request. Read gives io.EOF only after the whole
+// Response is the answer to one request. Read gives io.EOF only after the whole
 // answer; any other end is a Failure. Close it.
-type Answer struct {
+type Response struct {
 	// Head is the backend server's status and header.
 	Head control.ReplyHead
 
@@ -38,8 +38,8 @@
 }
 
 // newAnswer begins the answer of a request that was granted to l.
-func newAnswer(ctx context.Context, at *runAt, l *link) *Answer {
-	return &Answer{ctx: ctx, at: at, link: l}
+func newAnswer(ctx context.Context, at *runAt, l *link) *Response {
+	return &Response{ctx: ctx, at: at, link: l}
 }
 
 // afterLink is how long a stream goes on after the control connection it was
@@ -48,7 +48,7 @@
 
 // connect begins a stream that ends, a little later, with the control connection
 // it was begun beside: a frozen agent is noticed there.
-func (a *Answer) connect(l *link) {
+func (a *Response) connect(l *link) {
 	a.drop()
 	ctx, cancel := context.WithCancel(a.ctx)
 	stop := context.AfterFunc(l.life, func() {
@@ -68,7 +68,7 @@
 }
 
 // drop lets go of the stream.
-func (a *Answer) drop() {
+func (a *Response) drop() {
 	if a.cancel != nil {
 		a.cancel()
 		a.cancel = nil
@@ -80,7 +80,7 @@
 }
 
 // Read implements io.Reader, and resumes after a cut.
-func (a *Answer) Read(p []byte) (int, error) {
+func (a *Response) Read(p []byte) (int, error) {
 	for {
 		if a.err != nil {
 			return 0, a.err
@@ -97,7 +97,7 @@
 }
 
 // atEnd tells a whole answer from a failed one and from a cut, which it resumes.
-func (a *Answer) atEnd(err error) {
+func (a *Response) atEnd(err error) {
 	if errors.Is(err, io.EOF) {
 		switch runworks.Outcome(a.res.Trailer.Get(control.HeaderRunOutcome)) {
 		case runworks.OutcomeDone:
@@ -115,7 +115,7 @@
 }
 
 // resume goes on reading the same run at the offset reached.
-func (a *Answer) resume() error {
+func (a *Response) resume() error {
 	for {
 		if a.ctx.Err() != nil {
 			return a.unknown(context.Cause(a.ctx))
@@ -137,7 +137,7 @@
 }
 
 // fetch asks for the stream from the offset on.
-func (a *Answer) fetch(l *link) error {
+func (a *Response) fetch(l *link) error {
 	a.connect(l)
 	req, err := http.NewRequestWithContext(a.reqCtx, http.MethodGet, a.url(l), nil)
 	if err != nil {
@@ -146,12 +146,12 @@
 	return a.do(req)
 }
 
-func (a *Answer) unknown(err error) error {
+func (a *Response) unknown(err error) error {
 	return &runworks.Failure{Err: err, Outcome: runworks.OutcomeUnknown}
 }
 
 // final turns the last error into the failure that the caller is told.
-func (a *Answer) final(err error) error {
+func (a *Response) final(err error) error {
 	var failure *runworks.Failure
 	if errors.As(err, &failure) {
 		return a.afterLimit(failure)
@@ -170,7 +170,7 @@
 }
 
 // afterLimit names the time limit as the cause of what ended because of it.
-func (a *Answer) afterLimit(failure *runworks.Failure) error {
+func (a *Response) afterLimit(failure *runworks.Failure) error {
 	late := !a.at.deadline.IsZero() && !time.Now().Before(a.at.deadline)
 	if late && failure.Outcome != runworks.OutcomeNotRun {
 		return &runworks.Failure{
@@ -181,12 +181,12 @@
 	return failure
 }
 
-// Whole says whether the whole answer was read.
-func (a *Answer) Whole() bool { return a.whole }
+// Complete says whether the whole answer was read.
+func (a *Response) Complete() bool { return a.whole }
 
 // Close lets go of the answer. A request without a key is cancelled if its
 // answer was not read to the end.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	a.closed.Do(func() {
 		a.abandon()
 		if a.link != nil {
@@ -197,7 +197,7 @@
 }
 
 // abandon drops the stream and cancels the run if nobody can come back for it.
-func (a *Answer) abandon() {
+func (a *Response) abandon() {
 	a.drop()
 	if a.whole || a.keep {
 		return
@@ -206,7 +206,7 @@
 }
 
 // cancelRun tells the agent, if it is there, that nobody wants the answer.
-func (a *Answer) cancelRun() {
+func (a *Response) cancelRun() {
 	l := a.at.link()
 	if l == nil || l.incarnation != a.at.incarnation {
 		return
@@ -225,7 +225,7 @@
 }
 
 // closed counts an answer out.
-func (e *Entry) closed(a *Answer) {
+func (e *Entry) closed(a *Response) {
 	defer e.finish(a.req.Tier, true)
 	outcome := runworks.OutcomeDone
 	if !a.whole {
--- a/services/entry/entry.go
+++ b/services/entry/entry.go
@@ -21,8 +21,8 @@
 
 // Defaults of an entry's times.
 const (
-	DefaultFollowAfter = 5 * time.Millisecond
-	DefaultHostsPoll   = time.Second
+	DefaultSpreadDelay       = 5 * time.Millisecond
+	DefaultHostsPollInterval = time.Second
 )
 
 // Entry owns requests. Set the exported fields before Run.
@@ -37,8 +37,8 @@
 	Config *config.Follower
 	// Hosts is the platform's host list.
 	Hosts runworks.HostList
-	// HostsPoll is the time between reads of the host list.
-	HostsPoll time.Duration
+	// HostsPollInterval is the time between reads of the host list.
+	HostsPollInterval time.Duration
 	// Dial opens connections to agents.
 	Dial rpc.DialFunc
 	// Keys are the fleet keys.
@@ -54,8 +54,8 @@
 	OnShed func(req *runworks.Request)
 	// Picker chooses who gets the first ticket; nil is pick.LeastWork.
 	Picker runworks.Picker
-	// FollowAfter is how long one agent alone holds the ticket of a request.
-	FollowAfter time.Duration
+	// SpreadDelay is how long one agent alone holds the ticket of a request.
+	SpreadDelay time.Duration
 
 	incarnation runworks.Incarnation
 	work        group.Group
@@ -74,14 +74,14 @@
 
 // Start makes the entry ready; call it once, before Run.
 func (e *Entry) Start() {
-	if e.FollowAfter <= 0 {
-		e.FollowAfter = DefaultFollowAfter
+	if e.SpreadDelay <= 0 {
+		e.SpreadDelay = DefaultSpreadDelay
 	}
 	if e.Picker == nil {
 		e.Picker = pick.LeastWork{}
 	}
-	if e.HostsPoll <= 0 {
-		e.HostsPoll = DefaultHostsPoll
+	if e.HostsPollInterval <= 0 {
+		e.HostsPollInterval = DefaultHostsPollInterval
 	}
 	e.incarnation = runworks.NewIncarnation()
 	e.retries.Ratio, e.retries.Max = retryEarned, retryMost
@@ -99,7 +99,7 @@
 
 // Run keeps connections to all agents of the host list until ctx ends.
 func (e *Entry) Run(ctx context.Context) {
-	ticker := time.NewTicker(e.HostsPoll)
+	ticker := time.NewTicker(e.HostsPollInterval)
 	defer ticker.Stop()
 	for {
 		e.readHosts(ctx)
@@ -198,7 +198,7 @@
 	Host      string `json:"host"`
 	Server    string `json:"server"`
 	Connected bool   `json:"connected"`
-	Leaving   bool   `json:"leaving"`
+	Draining  bool   `json:"leaving"`
 	Version   int64  `json:"version"`
 	Slots     int    `json:"slots"`
 	Running   int    `json:"running"`
--- a/services/entry/heir.go
+++ b/services/entry/heir.go
@@ -7,16 +7,16 @@
 )
 
 // relayKeys brings the key records of an agent that stops to its heir.
-func (e *Entry) relayKeys(ctx context.Context, hand *control.KeyHand) control.KeyHandReply {
-	var reply control.KeyHandReply
+func (e *Entry) relayKeys(ctx context.Context, hand *control.KeyHandover) control.KeyHandoverReply {
+	var reply control.KeyHandoverReply
 	heir := e.heirOf(hand.Service, hand.Server)
 	if heir == nil {
 		return reply
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := heir.conn.Call(ctx, control.MethodKeyHand, hand, &reply); err != nil {
-		return control.KeyHandReply{}
+	if err := heir.conn.Call(ctx, control.MethodKeyHandover, hand, &reply); err != nil {
+		return control.KeyHandoverReply{}
 	}
 	return reply
 }
@@ -44,7 +44,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply control.KeyReply
-	if err := heir.conn.Call(ctx, control.MethodKeyLook, k.message(0), &reply); err != nil {
+	if err := heir.conn.Call(ctx, control.MethodKeyLookup, k.message(0), &reply); err != nil {
 		return nil, false
 	}
 	return &reply, reply.Verdict != control.KeyTooOld
--- a/services/entry/keyed.go
+++ b/services/entry/keyed.go
@@ -30,7 +30,7 @@
 
 // serveKeyed runs a request at most once under its key: it asks the key's home
 // first, and joins what runs or ran already.
-func (e *Entry) serveKeyed(ctx context.Context, req *runworks.Request) (*Answer, error) {
+func (e *Entry) serveKeyed(ctx context.Context, req *runworks.Request) (*Response, error) {
 	k := &keyed{entry: e, req: req, digest: digest(&req.Call)}
 	wait := keyPollFirst
 	for {
@@ -70,7 +70,7 @@
 // home can't tell is unknown: the key may have run before.
 func refusedKey(verdict control.KeyVerdict) error {
 	switch verdict {
-	case control.KeyOther:
+	case control.KeyReused:
 		return runworks.NotRun(runworks.ErrKeyReused, 0)
 	case control.KeySpent:
 		return runworks.NotRun(runworks.ErrKeySpent, 0)
@@ -106,7 +106,7 @@
 	}
 	server := now.Home(k.req.Service, k.req.Customer, k.req.IdempotencyKey)
 	reply, err := k.claimAt(ctx, server, now.Version)
-	if err == nil && reply.Verdict != control.KeyTooOld && reply.Verdict != control.KeyNotHome {
+	if err == nil && reply.Verdict != control.KeyTooOld && reply.Verdict != control.KeyNotOwner {
 		return reply, nil
 	}
 	if known, ok := k.askHeir(ctx, server); ok {
@@ -140,7 +140,7 @@
 
 // serveFresh runs the request. It says not-run only once the home has spent the
 // key; without the home's word another call may yet run under it.
-func (k *keyed) serveFresh(ctx context.Context) (*Answer, error) {
+func (k *keyed) serveFresh(ctx context.Context) (*Response, error) {
 	answer, err := k.entry.serveFresh(ctx, k.req, k.bind)
 	if err == nil {
 		return answer, nil
@@ -159,7 +159,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	b := control.KeyBind{Customer: k.req.Customer, Key: k.req.IdempotencyKey}
-	b.Run = control.RunPlace{ID: p.id, Server: p.granted.server, Incarnation: p.granted.incarnation}
+	b.Run = control.RunLocation{ID: p.id, Server: p.granted.server, Incarnation: p.granted.incarnation}
 	var reply control.KeyBindReply
 	err := k.home.conn.Call(ctx, control.MethodKeyBind, b, &reply)
 	return err == nil && reply.Bound
@@ -173,14 +173,14 @@
 	if k.home == nil {
 		return false
 	}
-	end := control.KeyEnd{Customer: k.req.Customer, Key: k.req.IdempotencyKey, ID: k.req.ID, Run: run}
-	var reply control.KeyEndReply
-	err := k.home.conn.Call(ctx, control.MethodKeyEnd, end, &reply)
-	return err == nil && reply.Ended
+	end := control.KeyRelease{Customer: k.req.Customer, Key: k.req.IdempotencyKey, ID: k.req.ID, Run: run}
+	var reply control.KeyReleaseReply
+	err := k.home.conn.Call(ctx, control.MethodKeyRelease, end, &reply)
+	return err == nil && reply.Released
 }
 
 // join fetches the answer of the request that runs or ran under the key.
-func (k *keyed) join(ctx context.Context, run *control.RunPlace) (*Answer, error) {
+func (k *keyed) join(ctx context.Context, run *control.RunLocation) (*Response, error) {
 	l := k.entry.linkTo(run.Server)
 	if l == nil {
 		return nil, idleAttempt("the agent that runs the key's request, " + run.Server + ", is out of reach")
--- a/services/entry/link.go
+++ b/services/entry/link.go
@@ -30,8 +30,8 @@
 
 	// What follows is guarded by the entry's lock.
 	heard  time.Time
-	beat   control.Beat
-	outbox control.Tickets
+	beat   control.Heartbeat
+	outbox control.Reservations
 	// standing is the number of tickets that this entry has at the agent.
 	standing int
 	// sentSince is the number of tickets sent since the agent's last report.
@@ -76,7 +76,7 @@
 	if err := l.conn.Call(ctx, control.MethodHello, h, &reply); err != nil {
 		return errorx.Decorate(err, "hello to %s", l.address)
 	}
-	l.server, l.incarnation, l.beat = reply.Server, reply.Incarnation, reply.Beat
+	l.server, l.incarnation, l.beat = reply.Server, reply.Incarnation, reply.Heartbeat
 	return nil
 }
 
@@ -106,7 +106,7 @@
 
 // serve sends tickets and beats until the connection is gone or silent.
 func (l *link) serve(ctx context.Context) {
-	ticker := time.NewTicker(control.BeatEvery)
+	ticker := time.NewTicker(control.HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -128,17 +128,17 @@
 func (l *link) sendTickets(ctx context.Context) {
 	l.entry.mu.Lock()
 	batch := l.outbox
-	l.outbox = control.Tickets{}
+	l.outbox = control.Reservations{}
 	l.entry.mu.Unlock()
 	if len(batch.Place)+len(batch.Withdraw) > 0 {
-		_ = l.conn.Notify(ctx, control.MethodTickets, batch)
+		_ = l.conn.Notify(ctx, control.MethodReservations, batch)
 	}
 }
 
 // sendBeat says that the entry lives; false means that the agent is silent.
 func (l *link) sendBeat(ctx context.Context) bool {
 	l.entry.mu.Lock()
-	silent := time.Since(l.heard) > control.BeatLimit
+	silent := time.Since(l.heard) > control.HeartbeatTimeout
 	behind := l.beat.Version > l.entry.Config.Version()
 	l.entry.mu.Unlock()
 	if silent {
@@ -147,7 +147,7 @@
 	if behind {
 		l.entry.work.Go(func() { l.fetchConfig(ctx) })
 	}
-	_ = l.conn.Notify(ctx, control.MethodBeat, control.Beat{Version: l.entry.Config.Version()})
+	_ = l.conn.Notify(ctx, control.MethodHeartbeat, control.Heartbeat{Version: l.entry.Config.Version()})
 	return true
 }
 
@@ -166,8 +166,8 @@
 func (l *link) handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	<-l.ready
 	e := l.entry
-	if method == control.MethodKeyHand {
-		var hand control.KeyHand
+	if method == control.MethodKeyHandover {
+		var hand control.KeyHandover
 		if err := control.Decode(params, &hand); err != nil {
 			return nil, err
 		}
@@ -177,9 +177,9 @@
 	defer e.mu.Unlock()
 	l.heard = time.Now()
 	switch method {
-	case control.MethodBeat:
+	case control.MethodHeartbeat:
 		return nil, l.takeBeatLocked(params)
-	case control.MethodRefused:
+	case control.MethodRefusals:
 		return nil, l.takeRefusedLocked(params)
 	case control.MethodClaim:
 		return l.claimLocked(params)
@@ -190,11 +190,11 @@
 }
 
 func (l *link) takeBeatLocked(params json.RawMessage) error {
-	var b control.Beat
+	var b control.Heartbeat
 	if err := control.Decode(params, &b); err != nil {
 		return err
 	}
-	left := b.Leaving && !l.beat.Leaving
+	left := b.Draining && !l.beat.Draining
 	l.beat = b
 	l.sentSince = 0
 	if left {
@@ -204,7 +204,7 @@
 }
 
 func (l *link) takeRefusedLocked(params json.RawMessage) error {
-	var refused control.Refused
+	var refused control.Refusals
 	if err := control.Decode(params, &refused); err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 
 // takesWorkLocked says whether the agent may get new work.
 func (l *link) takesWorkLocked() bool {
-	return !l.beat.Leaving && !l.member.listedLeaving && l.member.link == l
+	return !l.beat.Draining && !l.member.listedLeaving && l.member.link == l
 }
 
 func (e *Entry) documentLocked() control.Document {
--- a/services/entry/members.go
+++ b/services/entry/members.go
@@ -137,11 +137,11 @@
 		s.Tiers[name] = *t
 	}
 	for _, m := range e.members {
-		one := AgentStatus{Host: m.host.Name, Leaving: m.listedLeaving}
+		one := AgentStatus{Host: m.host.Name, Draining: m.listedLeaving}
 		if l := m.link; l != nil {
 			one.Connected = true
 			one.Server = l.server
-			one.Leaving = one.Leaving || l.beat.Leaving
+			one.Draining = one.Draining || l.beat.Draining
 			one.Version, one.Slots, one.Running, one.Waiting = l.beat.Version, l.beat.Slots, l.beat.Running, l.beat.Waiting
 		}
 		s.Agents = append(s.Agents, one)
--- a/services/entry/place.go
+++ b/services/entry/place.go
@@ -44,7 +44,7 @@
 // Failure no agent has been granted it and none will be.
 func (e *Entry) place(ctx context.Context, req *runworks.Request, attempt int) (*pending, *runworks.Failure) {
 	p := e.open(req, attempt)
-	follow := time.NewTimer(e.FollowAfter)
+	follow := time.NewTimer(e.SpreadDelay)
 	defer follow.Stop()
 	again := time.NewTicker(control.RefusalWindow)
 	defer again.Stop()
--- a/services/entry/place_test.go
+++ b/services/entry/place_test.go
@@ -37,7 +37,7 @@
 }
 
 func testLink(e *Entry, server string) *link {
-	l := &link{entry: e, member: &member{}, server: server, flush: make(chan struct{}, 1), beat: control.Beat{Slots: 1}}
+	l := &link{entry: e, member: &member{}, server: server, flush: make(chan struct{}, 1), beat: control.Heartbeat{Slots: 1}}
 	l.member.link = l
 	e.links[l] = struct{}{}
 	return l
@@ -93,9 +93,9 @@
 			is.NoErr(err)
 			return reply.Granted
 		}
-		two.beat.Leaving = true
+		two.beat.Draining = true
 		is.True(!claim(two))
-		two.beat.Leaving = false
+		two.beat.Draining = false
 		is.True(claim(one))
 		is.True(!claim(two))
 		is.True(!claim(one))
@@ -156,7 +156,7 @@
 					break
 				}
 				for l := range e.links {
-					l.outbox = control.Tickets{}
+					l.outbox = control.Reservations{}
 				}
 				e.mu.Unlock()
 			}
--- a/services/entry/run.go
+++ b/services/entry/run.go
@@ -24,7 +24,7 @@
 const (
 	// resolveLimit bounds how long the fate of a request is asked for after a
 	// cut; it is longer than the silence after which a connection is given up.
-	resolveLimit = control.BeatLimit + 3*time.Second
+	resolveLimit = control.HeartbeatTimeout + 3*time.Second
 	resolveEvery = 100 * time.Millisecond
 	callTimeout  = 2 * time.Second
 )
@@ -44,7 +44,7 @@
 }
 
 // run sends a granted request to its agent, once, and gives the answer's head.
-func (e *Entry) run(ctx context.Context, p *pending) (*Answer, error) {
+func (e *Entry) run(ctx context.Context, p *pending) (*Response, error) {
 	at := &runAt{entry: e, id: p.id, member: p.granted.member, incarnation: p.granted.incarnation, deadline: p.req.Deadline}
 	a := newAnswer(ctx, at, p.granted)
 	if p.req.IdempotencyKey != "" {
@@ -62,7 +62,7 @@
 }
 
 // send posts the request; errCut means that it may have arrived.
-func (a *Answer) send(p *pending) error {
+func (a *Response) send(p *pending) error {
 	head, err := json.Marshal(&p.req.Call)
 	if err != nil {
 		return runworks.NotRun(errorx.Decorate(err, "encode the call"), 0)
@@ -78,9 +78,9 @@
 	}
 	req.ContentLength = int64(len(p.req.Call.Body))
 	req.Header.Set(control.HeaderCall, string(head))
-	req.Header.Set(control.HeaderLeft, time.Until(p.req.Deadline).String())
+	req.Header.Set(control.HeaderRemaining, time.Until(p.req.Deadline).String())
 	if a.keep {
-		req.Header.Set(control.HeaderKeep, "true")
+		req.Header.Set(control.HeaderRetain, "true")
 	}
 	tracing.Inject(a.ctx, propagation.HeaderCarrier(req.Header))
 	err = a.do(req)
@@ -108,7 +108,7 @@
 func (r *refusedRun) Error() string { return "the request is " + string(r.state) + " at its agent" }
 
 // do sends a request for the run's stream and takes its head.
-func (a *Answer) do(req *http.Request) error {
+func (a *Response) do(req *http.Request) error {
 	req.Header.Set(rpc.KeyHeader, a.at.entry.Keys.Shown())
 	req.Header.Set(control.HeaderIncarnation, string(a.at.incarnation))
 	res, err := a.at.entry.client.Do(req)
@@ -139,7 +139,7 @@
 }
 
 // url is where the run's stream is.
-func (a *Answer) url(l *link) string {
+func (a *Response) url(l *link) string {
 	u := "http://" + l.address + "/run/" + string(a.at.id)
 	if a.offset > 0 {
 		u += "?from=" + strconv.FormatInt(a.offset, 10)
@@ -159,14 +159,14 @@
 	for {
 		if l := at.link(); l != nil {
 			if l.incarnation != at.incarnation {
-				return control.StateForgotten, nil
+				return control.StateUnknown, nil
 			}
 			if state, ok := at.revoke(ctx, l); ok && state != control.StateClaimed {
 				return state, l
 			}
 		}
 		if !sleep(ctx, resolveEvery, limit) {
-			return control.StateForgotten, nil
+			return control.StateUnknown, nil
 		}
 	}
 }
@@ -182,7 +182,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply control.RevokeReply
-	if err := l.conn.Call(ctx, control.MethodRevoke, control.Revoke{ID: at.id, OnlyAsk: at.joined}, &reply); err != nil {
+	if err := l.conn.Call(ctx, control.MethodRevoke, control.Revoke{ID: at.id, QueryOnly: at.joined}, &reply); err != nil {
 		return "", false
 	}
 	return reply.State, true
--- a/services/entry/serve.go
+++ b/services/entry/serve.go
@@ -19,7 +19,7 @@
 
 // Serve takes a request through to the head of its answer. The error is a
 // Failure. After an answer, the caller reads and closes it.
-func (e *Entry) Serve(ctx context.Context, req *runworks.Request) (*Answer, error) {
+func (e *Entry) Serve(ctx context.Context, req *runworks.Request) (*Response, error) {
 	if err := e.begin(req.Tier); err != nil {
 		return nil, runworks.NotRun(err, retryWhenAway)
 	}
@@ -36,7 +36,7 @@
 	return answer, nil
 }
 
-func (e *Entry) answer(ctx context.Context, req *runworks.Request) (*Answer, error) {
+func (e *Entry) answer(ctx context.Context, req *runworks.Request) (*Response, error) {
 	if req.IdempotencyKey != "" {
 		return e.serveKeyed(ctx, req)
 	}
@@ -48,7 +48,7 @@
 
 // serveFresh places a request and runs it, and places it again while that is
 // proved to be safe.
-func (e *Entry) serveFresh(ctx context.Context, req *runworks.Request, bind bind) (*Answer, error) {
+func (e *Entry) serveFresh(ctx context.Context, req *runworks.Request, bind bind) (*Response, error) {
 	e.retries.Deposit()
 	wait := newBackoff()
 	for attempt := 1; ; attempt++ {
@@ -68,7 +68,7 @@
 }
 
 // attempt places a request once, and runs it where it was claimed.
-func (e *Entry) attempt(ctx context.Context, req *runworks.Request, attempt int, bind bind) (*Answer, error) {
+func (e *Entry) attempt(ctx context.Context, req *runworks.Request, attempt int, bind bind) (*Response, error) {
 	p, failure := e.waitForGrant(ctx, req, attempt)
 	if failure != nil {
 		return nil, failure
--- a/services/idempotency/handover.go
+++ b/services/idempotency/handover.go
@@ -41,7 +41,7 @@
 	case r == nil:
 		return control.KeyReply{Verdict: control.KeyTooOld}
 	case r.digest != c.Digest:
-		return control.KeyReply{Verdict: control.KeyOther}
+		return control.KeyReply{Verdict: control.KeyReused}
 	case r.spent:
 		return control.KeyReply{Verdict: control.KeySpent}
 	}
--- a/services/idempotency/home.go
+++ b/services/idempotency/home.go
@@ -48,7 +48,7 @@
 	owner  runworks.RequestID
 	source runworks.Incarnation
 	bound  bool
-	run    control.RunPlace
+	run    control.RunLocation
 	// spent is set once a caller was told not-run: nothing may run any more.
 	spent bool
 }
@@ -106,7 +106,7 @@
 func (h *Home) again(r *record, source runworks.Incarnation, c *control.KeyClaim) control.KeyReply {
 	switch {
 	case r.digest != c.Digest:
-		return control.KeyReply{Verdict: control.KeyOther}
+		return control.KeyReply{Verdict: control.KeyReused}
 	case r.spent:
 		return control.KeyReply{Verdict: control.KeySpent}
 	case r.bound:
@@ -137,7 +137,7 @@
 // effect. An owner's end spends the key for good: only then may a caller be told
 // not-run, as an older call under the key may still be on its way. An end that
 // names a run frees the key for the next comer.
-func (h *Home) End(e *control.KeyEnd) bool {
+func (h *Home) End(e *control.KeyRelease) bool {
 	r := h.records[name{customer: e.Customer, key: e.Key}]
 	switch {
 	case h.closed || r == nil || r.spent:
@@ -158,7 +158,7 @@
 	}
 	r.owner, r.source = "", ""
 	r.bound = false
-	r.run = control.RunPlace{}
+	r.run = control.RunLocation{}
 	return true
 }
 
--- a/services/idempotency/home_test.go
+++ b/services/idempotency/home_test.go
@@ -44,7 +44,7 @@
 	key     string
 	source  runworks.Incarnation
 	granted bool
-	run     control.RunPlace
+	run     control.RunLocation
 }
 
 // keyWorld is the oracle: which keys ran, and which were told not-run.
@@ -128,7 +128,7 @@
 	if c == nil || !c.granted || c.run.ID != "" {
 		return
 	}
-	run := control.RunPlace{ID: c.id.Attempt(1), Server: "e1"}
+	run := control.RunLocation{ID: c.id.Attempt(1), Server: "e1"}
 	if w.home.Bind(&control.KeyBind{Customer: "c", Key: c.key, Run: run}) {
 		c.run = run
 		if rapid.Bool().Draw(t, "starts") {
@@ -146,7 +146,7 @@
 	if c == nil || c.run.Server != "" {
 		return
 	}
-	if w.home.End(&control.KeyEnd{Customer: "c", Key: c.key, ID: c.id}) {
+	if w.home.End(&control.KeyRelease{Customer: "c", Key: c.key, ID: c.id}) {
 		w.told[c.key] = true
 	}
 }
@@ -157,7 +157,7 @@
 	if c == nil || c.run.ID == "" || c.run.Server != "" {
 		return
 	}
-	w.home.End(&control.KeyEnd{Customer: "c", Key: c.key, Run: c.run.ID})
+	w.home.End(&control.KeyRelease{Customer: "c", Key: c.key, Run: c.run.ID})
 }
 
 // TestVerdicts walks through what a home says to one key.
@@ -178,10 +178,10 @@
 		{"minted in the future", mint(now.Add(2*time.Second), 1), neverElsewhere, nil, control.KeyEarly},
 		{"had another home", key, elsewhere, nil, control.KeyTooOld},
 		{"another comer waits", key, neverElsewhere, func(h *Home) { claimFirst(h, now, key, "d") }, control.KeyWaiting},
-		{"used for another request", key, neverElsewhere, func(h *Home) { claimFirst(h, now, key, "other") }, control.KeyOther},
+		{"used for another request", key, neverElsewhere, func(h *Home) { claimFirst(h, now, key, "other") }, control.KeyReused},
 		{"told not-run", key, neverElsewhere, func(h *Home) {
 			claimFirst(h, now, key, "d")
-			h.End(&control.KeyEnd{Customer: "c", Key: key, ID: "first"})
+			h.End(&control.KeyRelease{Customer: "c", Key: key, ID: "first"})
 		}, control.KeySpent},
 		{"its entry was lost", key, neverElsewhere, func(h *Home) {
 			claimFirst(h, now, key, "d")
@@ -189,7 +189,7 @@
 		}, control.KeyFresh},
 		{"runs", key, neverElsewhere, func(h *Home) {
 			claimFirst(h, now, key, "d")
-			h.Bind(&control.KeyBind{Customer: "c", Key: key, Run: control.RunPlace{ID: "first.1"}})
+			h.Bind(&control.KeyBind{Customer: "c", Key: key, Run: control.RunLocation{ID: "first.1"}})
 			h.Lost("x")
 		}, control.KeyBound},
 		{"no room", key, neverElsewhere, func(h *Home) { h.MaxKeys = 0 }, control.KeyFull},
--- a/tests/measure_test.go
+++ b/tests/measure_test.go
@@ -424,8 +424,8 @@
 	}
 }
 
-func readAll(answer *entry.Answer) bool {
+func readAll(answer *entry.Response) bool {
 	defer answer.Close()
 	_, err := io.Copy(io.Discard, answer)
-	return err == nil && answer.Whole()
+	return err == nil && answer.Complete()
 }
--- a/tests/process_failure_test.go
+++ b/tests/process_failure_test.go
@@ -157,7 +157,7 @@
 	s.agents["one"].signal(syscall.SIGSTOP)
 	frozen := time.Now()
 	load.done(20)
-	s.until("every grant has lapsed", func() bool { return time.Since(frozen) > 2*control.GrantLimit })
+	s.until("every grant has lapsed", func() bool { return time.Since(frozen) > 2*control.GrantTimeout })
 	s.agents["one"].signal(syscall.SIGCONT)
 	load.done(100)
 	load.end(t)
