--- a/cmd/runworks/front.go
+++ b/cmd/runworks/front.go
@@ -22,7 +22,7 @@
 			return nil, err
 		}
 		return func(ctx context.Context, stop <-chan struct{}) error {
-			out := logging.NewBounded(os.Stdout, settings.LogLines)
+			out := logging.NewBoundedWriter(os.Stdout, settings.LogLinesPerSecond)
 			defer out.Close()
 			process := &daemon.Front{
 				Settings: settings, Logger: logging.New(out, "front", settings.Log.Level, settings.Log.JSON),
--- a/daemon/front.go
+++ b/daemon/front.go
@@ -110,7 +110,7 @@
 	}
 	defer flush()
 	list := d.open(listeners)
-	listeners[forCallers] = &tcp.IdleListener{Listener: listeners[forCallers], Limit: d.idleLimit}
+	listeners[forCallers] = &tcp.IdleListener{Listener: listeners[forCallers], IdleTimeout: d.idleLimit}
 	var work conc.WaitGroup
 	d.follow(ctx, &work)
 	for i, server := range list {
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, err
 	}
-	dial := tcp.Options{Silence: s.Silence}.Dial
+	dial := tcp.Options{PeerTimeout: s.PeerTimeout}.Dial
 	self := peers.Member{Name: s.Name, Address: address, Hall: s.Hall, Incarnation: runworks.NewIncarnation()}
 	d.dispatcher = &dispatch.Dispatcher{
 		Self: self.Incarnation, Hall: s.Hall, OnEject: d.onSuspend, OnUnresponsive: d.onSilent, OnPeerEject: d.onDoubt, OnRateLimit: d.onLimit, RequestPermits: d.onWant,
@@ -171,7 +171,7 @@
 	d.budgets = &forward.Budgets{Ratio: s.RetryRatio, Slack: s.RetrySlack, Started: time.Now(), Window: s.RetryWindow}
 	d.quarantine = &quarantine.Quarantine{ExitThreshold: s.QuarantineAfter, Duration: s.QuarantineFor, OnUpdate: d.onSuspect, OnQuarantine: d.onHeld, OnRelease: d.onLifted}
 	d.opened = make(chan struct{})
-	d.pool = &httpconn.Pool{Dial: dial, Recognise: platform.AnswersRequest}
+	d.pool = &httpconn.Pool{Dial: dial, MatchResponse: platform.AnswersRequest}
 	d.forwarder = &forward.Forwarder{
 		Ready: d.opened, Dispatcher: d.dispatcher, Quota: d.quota, Budgets: d.budgets, Quarantine: d.quarantine, Logger: d.Logger, Metrics: d.metrics, Tracer: tracer,
 		Sender: &platform.Sender{Pool: d.pool},
@@ -209,7 +209,7 @@
 	addresses := []string{forCallers: s.Listen, forBalancer: s.Ready, forFronts: s.Peers, forOperators: s.Operators}
 	var out []net.Listener
 	for i, address := range addresses {
-		l, err := tcp.Options{Silence: s.Silence}.Listen(ctx, address)
+		l, err := tcp.Options{PeerTimeout: s.PeerTimeout}.Listen(ctx, address)
 		if err != nil {
 			closeAll(out)
 			return nil, errorx.Decorate(err, "listen for %s on %s", names[i], address)
@@ -235,7 +235,7 @@
 	out := make([]*http.Server, len(listeners))
 	for i, handler := range handlers {
 		out[i] = &http.Server{
-			Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: tcp.NoteState, ConnContext: tcp.WithConn,
+			Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, ConnState: tcp.TrackIdle, ConnContext: tcp.WithConn,
 			ErrorLog: d.Logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 		}
 	}
--- a/daemon/front_follow.go
+++ b/daemon/front_follow.go
@@ -174,7 +174,7 @@
 
 // onReturn reads the topics anew that the platform writes, and has put back what fronts wrote.
 func (d *Front) onReturn(era int64) {
-	metrics.Count(d.metrics.StoreReturns)
+	metrics.Count(d.metrics.StoreRestores)
 	d.Logger.Warn("the store came back from an older copy", "era", era)
 	for _, w := range d.watches {
 		w.StoreRestored(era)
--- a/daemon/front_servers.go
+++ b/daemon/front_servers.go
@@ -90,7 +90,7 @@
 		d.blameFor(&one)
 	}
 	for _, one := range change.Restarted {
-		d.pool.Forget(one.Address)
+		d.pool.CloseIdle(one.Address)
 		d.Logger.Warn("backend server started again, its calls are lost", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
 }
@@ -125,11 +125,11 @@
 }
 
 func (d *Front) onLeaving(server runworks.Instance, from string) {
-	metrics.Count(d.metrics.ServerWords, metrics.Word("leaving"))
+	metrics.Count(d.metrics.ServerReports, metrics.ReportKind("leaving"))
 	d.Logger.Info("backend server says that it leaves", "server", server.IncarnationID(), "service", server.Service, "address", server.Address, "told_by", from)
 }
 
 func (d *Front) onRest(server runworks.Instance, lasts time.Duration) {
-	metrics.Count(d.metrics.ServerWords, metrics.Word("rest"))
+	metrics.Count(d.metrics.ServerReports, metrics.ReportKind("rest"))
 	d.Logger.Warn("backend server asks for rest", "server", server.IncarnationID(), "service", server.Service, "for_ms", lasts.Milliseconds())
 }
--- a/daemon/front_suspend.go
+++ b/daemon/front_suspend.go
@@ -9,7 +9,7 @@
 
 // watchSuspensions looks for suspensions of the host until ctx ends.
 func (d *Front) watchSuspensions(ctx context.Context) {
-	w := &suspend.Watch{OnWake: d.onWake}
+	w := &suspend.Monitor{OnResume: d.onWake}
 	if err := w.Run(ctx); err != nil {
 		d.Logger.Warn("suspensions of the host are not noticed", "error", err.Error())
 	}
--- a/daemon/parts.go
+++ b/daemon/parts.go
@@ -66,7 +66,7 @@
 // sends the last spans.
 func newTracer(ctx context.Context, process string, t setting.Traces) (trace.Tracer, func(), error) {
 	if t.Endpoint == "" {
-		return tracing.None(), func() {}, nil
+		return tracing.Noop(), func() {}, nil
 	}
 	provider, err := tracing.NewProvider(ctx, t.Endpoint, process, t.Sampled)
 	if err != nil {
@@ -85,7 +85,7 @@
 
 // follower builds the follower of the configuration log.
 func follower(p *Parts, c *setting.Common) *config.Follower {
-	return &config.Follower{Log: p.Log, Poll: c.ConfigPoll, Restate: c.RestateEvery, Logger: p.Logger}
+	return &config.Follower{Log: p.Log, Poll: c.ConfigPoll, Restate: c.RepublishInterval, Logger: p.Logger}
 }
 
 // listen opens a listener and says where on the log.
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -157,7 +157,7 @@
 func (d *Dev) common(name, hall string) setting.Common {
 	return setting.Common{
 		Name: name, Hall: hall, Operators: anyPort, FleetKeys: []string{fleetKey},
-		ConfigPoll: setting.DefaultConfigPoll, RestateEvery: setting.DefaultRestateEvery, StopLimit: setting.DefaultStopLimit,
+		ConfigPoll: setting.DefaultConfigPoll, RepublishInterval: setting.DefaultRepublishInterval, StopLimit: setting.DefaultStopLimit,
 	}
 }
 
--- a/modules/backend/http_test.go
+++ b/modules/backend/http_test.go
@@ -15,41 +15,41 @@
 	"github.com/runworks/runworks"
 )
 
-// breaking is a server that answers the first request on each connection and
+// breakingServer is a server that answers the first request on each connection and
 // breaks the connection after it has read the second.
-type breaking struct {
+type breakingServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	marked   int
-	work     sync.WaitGroup
+	wg       sync.WaitGroup
 }
 
-func newBreaking(t *testing.T) *breaking {
+func newBreaking(t *testing.T) *breakingServer {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &breaking{listener: listener}
-	b.work.Go(b.accept)
+	b := &breakingServer{listener: listener}
+	b.wg.Go(b.accept)
 	t.Cleanup(func() {
 		_ = listener.Close()
-		b.work.Wait()
+		b.wg.Wait()
 	})
 	return b
 }
 
-func (b *breaking) accept() {
+func (b *breakingServer) accept() {
 	for {
 		conn, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
-		b.work.Go(func() { b.serve(conn) })
+		b.wg.Go(func() { b.serve(conn) })
 	}
 }
 
-func (b *breaking) serve(conn net.Conn) {
+func (b *breakingServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for i := range 2 {
@@ -70,17 +70,17 @@
 	}
 }
 
-func (b *breaking) url() string { return "http://" + b.listener.Addr().String() }
+func (b *breakingServer) url() string { return "http://" + b.listener.Addr().String() }
 
-func (b *breaking) arrived() int {
+func (b *breakingServer) arrived() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.marked
 }
 
-// TestTransportTrap shows that net/http by itself sends some calls twice when a
+// TestTransportReplay shows that net/http by itself sends some calls twice when a
 // kept-alive connection breaks, and that this package sends each once.
-func TestTransportTrap(t *testing.T) {
+func TestTransportReplay(t *testing.T) {
 	tests := []struct {
 		name   string
 		method string
@@ -138,7 +138,7 @@
 	return err
 }
 
-func sendUnguarded(t *testing.T, b *breaking, call *runworks.Call) {
+func sendUnguarded(t *testing.T, b *breakingServer, call *runworks.Call) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
--- a/modules/httpconn/do.go
+++ b/modules/httpconn/do.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// maxSurplus bounds the answers that are passed over in search of ours.
-	maxSurplus = 3
-	// maxSurplusBytes bounds what is read of one of them.
-	maxSurplusBytes = 1 << 20
-	// inlineBody is the largest body that is written before the answer is looked
+	// maxMismatched bounds the answers that are passed over in search of ours.
+	maxMismatched = 3
+	// maxMismatchedBytes bounds what is read of one of them.
+	maxMismatchedBytes = 1 << 20
+	// maxInlineBody is the largest body that is written before the answer is looked
 	// for; larger ones are written beside, as a server may answer early.
-	inlineBody = 8 << 10
+	maxInlineBody = 8 << 10
 )
 
 // Do sends a request once to the address host:port. Wanted, unless nil, is asked when a
 // connection is there, just before the first byte would leave: its error is given back and
 // nothing is sent. Other errors are ErrNotDispatched only if no byte can have left, else
 // ErrBackend. The caller closes the answer's body; the end of ctx cuts the connection.
-func (p *Pool) Do(ctx context.Context, address string, req *http.Request, wanted func() error) (*http.Response, error) {
+func (p *Pool) Do(ctx context.Context, address string, req *http.Request, beforeSend func() error) (*http.Response, error) {
 	c, err := p.get(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	if wanted != nil {
-		if err := wanted(); err != nil {
+	if beforeSend != nil {
+		if err := beforeSend(); err != nil {
 			p.put(c)
 			return nil, err
 		}
@@ -44,7 +44,7 @@
 	if err != nil {
 		stop()
 		_ = c.Close()
-		if !x.left.Load() {
+		if !x.dispatched.Load() {
 			return nil, errorx.Decorate(runworks.ErrNotDispatched, "write to %s: %v", address, err)
 		}
 		return nil, errorx.Decorate(runworks.ErrBackend, "call %s: %v", address, err)
@@ -59,17 +59,17 @@
 	conn *conn
 	req  *http.Request
 	stop func() bool
-	// left is set once a byte of the request may have left.
-	left atomic.Bool
+	// dispatched is set once a byte of the request may have dispatched.
+	dispatched atomic.Bool
 	// written is set once the whole request has been written.
 	written atomic.Bool
 }
 
 // run writes the request and reads the head of its answer.
 func (x *exchange) run() (*http.Response, error) {
-	if x.req.ContentLength <= inlineBody {
+	if x.req.ContentLength <= maxInlineBody {
 		if err := x.write(); err != nil {
-			if !x.left.Load() {
+			if !x.dispatched.Load() {
 				return nil, err
 			}
 			// The answer may have come all the same.
@@ -81,29 +81,29 @@
 		return x.read()
 	}
 	go func() { _ = x.write() }()
-	x.left.Store(true)
+	x.dispatched.Store(true)
 	return x.read()
 }
 
 func (x *exchange) write() error {
-	err := x.req.Write(&leaving{conn: x.conn, left: &x.left})
+	err := x.req.Write(&dispatchWriter{conn: x.conn, dispatched: &x.dispatched})
 	if err == nil {
 		x.written.Store(true)
 	}
 	return err
 }
 
-// leaving notes that a byte was taken by the connection.
-type leaving struct {
-	conn *conn
-	left *atomic.Bool
+// dispatchWriter notes that a byte was taken by the connection.
+type dispatchWriter struct {
+	conn       *conn
+	dispatched *atomic.Bool
 }
 
 // Write implements io.Writer.
-func (l *leaving) Write(b []byte) (int, error) {
+func (l *dispatchWriter) Write(b []byte) (int, error) {
 	n, err := l.conn.Write(b)
 	if n > 0 {
-		l.left.Store(true)
+		l.dispatched.Store(true)
 	}
 	return n, err
 }
@@ -111,7 +111,7 @@
 // read gives the head of the answer that belongs to the request; it passes over
 // informational answers and those of other requests.
 func (x *exchange) read() (*http.Response, error) {
-	for range maxSurplus {
+	for range maxMismatched {
 		res, err := http.ReadResponse(x.conn.br, x.req)
 		if err != nil {
 			return nil, err
@@ -119,14 +119,14 @@
 		if res.StatusCode < http.StatusOK {
 			continue
 		}
-		if x.pool.Recognise == nil || x.pool.Recognise(x.req, res) {
-			x.conn.noteKeepAlive(res)
+		if x.pool.MatchResponse == nil || x.pool.MatchResponse(x.req, res) {
+			x.conn.readKeepAlive(res)
 			return res, nil
 		}
 		if res.Close || res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
 			return nil, errorx.ExternalError.New("the answer to another request took this one's place")
 		}
-		if _, err := io.CopyN(io.Discard, res.Body, maxSurplusBytes); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, res.Body, maxMismatchedBytes); !errors.Is(err, io.EOF) {
 			return nil, errorx.ExternalError.New("the answer to another request is too long to pass over")
 		}
 	}
@@ -157,10 +157,10 @@
 	return nil
 }
 
-func (b *body) finish(whole bool) {
+func (b *body) finish(complete bool) {
 	b.once.Do(func() {
 		x := b.exchange
-		if x.stop() && whole && x.reusable(b.res) {
+		if x.stop() && complete && x.reusable(b.res) {
 			x.pool.put(x.conn)
 			return
 		}
--- a/modules/httpconn/end_test.go
+++ b/modules/httpconn/exit_test.go
@@ -11,53 +11,53 @@
 	"github.com/matryer/is"
 )
 
-// ends says whether WatchEnd tells of an end. One that is to be told is waited for as long as
+// reportsExit says whether WatchEnd tells of an end. One that is to be told is waited for as long as
 // a busy host may take.
-func ends(t *testing.T, p *Pool, address string, expected bool) bool {
+func reportsExit(t *testing.T, p *Pool, address string, expected bool) bool {
 	t.Helper()
-	limit := 2*DefaultRefusalTimeout + endWatch
-	p.RefusalTimeout = 0
+	limit := 2*DefaultProbeTimeout + exitWatchTime
+	p.ProbeTimeout = 0
 	if expected {
 		// A busy host may take seconds to open a connection, and then no end is told.
-		limit, p.RefusalTimeout = time.Minute, 30*time.Second
+		limit, p.ProbeTimeout = time.Minute, 30*time.Second
 	}
-	told := make(chan struct{}, 1)
-	p.WatchEnd(t.Context(), address, func() { told <- struct{}{} })
+	exited := make(chan struct{}, 1)
+	p.WatchExit(t.Context(), address, func() { exited <- struct{}{} })
 	select {
-	case <-told:
+	case <-exited:
 		return true
 	case <-time.After(limit):
 		return false
 	}
 }
 
-// TestWatchEnd tells a server whose process has ended from one that still listens; the
+// TestWatchExit tells a server whose process has ended from one that still listens; the
 // connection that this took is used by the next request.
-func TestWatchEnd(t *testing.T) {
+func TestWatchExit(t *testing.T) {
 	is := is.New(t)
-	s := serveConns(t, answerWhole)
+	s := serveConns(t, respondOK)
 	p := newPool()
 	defer p.Close()
-	is.True(!ends(t, p, s.address, false))
+	is.True(!reportsExit(t, p, s.address, false))
 	_, err := get(t, p, s)
 	is.NoErr(err)
 	is.Equal(s.conns.Load(), int32(1))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(l.Close())
-	is.True(ends(t, p, l.Addr().String(), true))
+	is.True(reportsExit(t, p, l.Addr().String(), true))
 	p.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	is.True(!ends(t, p, s.address, false)) // silence is no proof
+	is.True(!reportsExit(t, p, s.address, false)) // silence is no proof
 }
 
-// TestWatchEndInItsLastMoment takes a connection before the listener is gone, and resets it:
+// TestWatchExitResetAfterAccept takes a connection before the listener is gone, and resets it:
 // the refusal of the next one proves the end. A server that resets what it has too much of
 // goes on listening.
-func TestWatchEndInItsLastMoment(t *testing.T) {
-	for _, last := range []bool{true, false} {
+func TestWatchExitResetAfterAccept(t *testing.T) {
+	for _, exits := range []bool{true, false} {
 		is := is.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
@@ -69,7 +69,7 @@
 				if err != nil {
 					return
 				}
-				if last {
+				if exits {
 					_ = l.Close()
 				}
 				_ = c.(*net.TCPConn).SetLinger(0)
@@ -88,14 +88,14 @@
 			}
 			return c, err
 		}
-		is.Equal(ends(t, p, l.Addr().String(), last), last)
+		is.Equal(reportsExit(t, p, l.Addr().String(), exits), exits)
 	}
 }
 
-// TestWatchEndResetOnTheWay asks once more where the first connection was reset before it
+// TestWatchExitResetDuringConnect asks once more where the first connection was reset before it
 // was through: with the listener gone that proves the end, and with it there nothing.
-func TestWatchEndResetOnTheWay(t *testing.T) {
-	for _, last := range []bool{true, false} {
+func TestWatchExitResetDuringConnect(t *testing.T) {
+	for _, exits := range []bool{true, false} {
 		is := is.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
@@ -107,11 +107,11 @@
 				return dial(ctx, network, address)
 			}
 			first = false
-			if last {
+			if exits {
 				_ = l.Close()
 			}
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
 		}
-		is.Equal(ends(t, p, l.Addr().String(), last), last)
+		is.Equal(reportsExit(t, p, l.Addr().String(), exits), exits)
 	}
 }
--- a/modules/httpconn/pool.go
+++ b/modules/httpconn/pool.go
@@ -20,9 +20,9 @@
 	// DefaultDialTimeout bounds the opening of a connection on a network of one
 	// region.
 	DefaultDialTimeout = time.Second
-	// DefaultIdle is how long an unused connection is kept where the server
+	// DefaultIdleTimeout is how long an unused connection is kept where the server
 	// states no time of its own.
-	DefaultIdle = 10 * time.Second
+	DefaultIdleTimeout = 10 * time.Second
 	// DefaultMaxIdle bounds the unused connections to one address.
 	DefaultMaxIdle = 32
 	// idleMargin is how much earlier than the server an unused connection is
@@ -36,13 +36,13 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// DialTimeout, Idle and MaxIdle are the defaults above if zero.
 	DialTimeout time.Duration
-	Idle        time.Duration
+	IdleTimeout time.Duration
 	MaxIdle     int
-	// RefusalTimeout bounds each connection that WatchEnd asks for; DefaultRefusalTimeout if
+	// ProbeTimeout bounds each connection that WatchEnd asks for; DefaultRefusalTimeout if
 	// zero.
-	RefusalTimeout time.Duration
-	// Recognise says whether an answer belongs to a request; nil takes any.
-	Recognise func(req *http.Request, res *http.Response) bool
+	ProbeTimeout time.Duration
+	// MatchResponse says whether an answer belongs to a request; nil takes any.
+	MatchResponse func(req *http.Request, res *http.Response) bool
 
 	mu   sync.Mutex
 	idle map[string][]*conn
@@ -54,8 +54,8 @@
 	address string
 	br      *bufio.Reader
 	expires time.Time
-	// keepFor is the idle time that the server stated last; 0 if none.
-	keepFor time.Duration
+	// serverIdleTimeout is the idle time that the server stated last; 0 if none.
+	serverIdleTimeout time.Duration
 }
 
 // get gives a kept connection or opens one; the error is ErrNotDispatched.
@@ -65,12 +65,12 @@
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.expires) && c.quiet() {
+		if time.Now().Before(c.expires) && c.isIdle() {
 			return c, nil
 		}
 		_ = c.Close()
 	}
-	c, err := p.open(ctx, address, orDuration(p.DialTimeout, DefaultDialTimeout))
+	c, err := p.open(ctx, address, orDefault(p.DialTimeout, DefaultDialTimeout))
 	if err != nil {
 		return nil, errorx.Decorate(runworks.ErrNotDispatched, "reach %s: %v", address, err)
 	}
@@ -102,9 +102,9 @@
 
 // put keeps a connection for the next request.
 func (p *Pool) put(c *conn) {
-	keep := orDuration(p.Idle, DefaultIdle)
-	if c.keepFor > 0 {
-		keep = min(keep, c.keepFor-idleMargin)
+	keep := orDefault(p.IdleTimeout, DefaultIdleTimeout)
+	if c.serverIdleTimeout > 0 {
+		keep = min(keep, c.serverIdleTimeout-idleMargin)
 	}
 	if keep <= 0 {
 		_ = c.Close()
@@ -138,9 +138,9 @@
 	}
 }
 
-// Forget closes the unused connections to an address: the server behind them is gone, and
+// CloseIdle closes the unused connections to an address: the server behind them is gone, and
 // a request that is sent on one of them would be lost.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
@@ -154,20 +154,20 @@
 	}
 }
 
-// noteKeepAlive reads the idle time that a server states.
-func (c *conn) noteKeepAlive(res *http.Response) {
+// readKeepAlive reads the idle time that a server states.
+func (c *conn) readKeepAlive(res *http.Response) {
 	for _, part := range strings.Split(res.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil {
-			c.keepFor = time.Duration(n) * time.Second
+			c.serverIdleTimeout = time.Duration(n) * time.Second
 		}
 	}
 }
 
-func orDuration(d, otherwise time.Duration) time.Duration {
+func orDefault(d, otherwise time.Duration) time.Duration {
 	if d == 0 {
 		return otherwise
 	}
--- a/modules/httpconn/pool_test.go
+++ b/modules/httpconn/pool_test.go
@@ -17,22 +17,22 @@
 	"github.com/runworks/runworks"
 )
 
-const whole = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
 
-// scripted is a server whose connections are handled by a function.
-type scripted struct {
+// scriptedServer is a server whose connections are handled by a function.
+type scriptedServer struct {
 	address string
 	conns   atomic.Int32
 	closed  chan struct{}
 }
 
-func serveConns(t *testing.T, handle func(c net.Conn, br *bufio.Reader, n int32)) *scripted {
+func serveConns(t *testing.T, handle func(c net.Conn, br *bufio.Reader, n int32)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{address: l.Addr().String(), closed: make(chan struct{}, 100)}
+	s := &scriptedServer{address: l.Addr().String(), closed: make(chan struct{}, 100)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -61,17 +61,17 @@
 	return err == nil
 }
 
-// answerWhole answers each request of a connection.
-func answerWhole(c net.Conn, br *bufio.Reader, _ int32) {
+// respondOK answers each request of a connection.
+func respondOK(c net.Conn, br *bufio.Reader, _ int32) {
 	for readRequest(br) {
-		_, _ = io.WriteString(c, whole)
+		_, _ = io.WriteString(c, okResponse)
 	}
 }
 
 func newPool() *Pool {
 	return &Pool{
-		Dial:      (&net.Dialer{}).DialContext,
-		Recognise: func(_ *http.Request, res *http.Response) bool { return res.Header.Get("X-Id") == "1" },
+		Dial:          (&net.Dialer{}).DialContext,
+		MatchResponse: func(_ *http.Request, res *http.Response) bool { return res.Header.Get("X-Id") == "1" },
 	}
 }
 
@@ -90,7 +90,7 @@
 }
 
 // get sends a GET and reads its whole answer.
-func get(t *testing.T, p *Pool, s *scripted) (string, error) {
+func get(t *testing.T, p *Pool, s *scriptedServer) (string, error) {
 	t.Helper()
 	res, err := p.Do(context.Background(), s.address, request(t, http.MethodGet, s.address, ""), nil)
 	if err != nil {
@@ -111,7 +111,7 @@
 			if arrivals.Add(1) == 2 {
 				return
 			}
-			_, _ = io.WriteString(c, whole)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
 	p := newPool()
@@ -125,14 +125,14 @@
 	is.Equal(s.conns.Load(), int32(1))
 }
 
-// TestIdleConnectionThatEnded finds a kept connection closed before it is used,
+// TestClosedIdleConnection finds a kept connection closed before it is used,
 // and one on which something came that nobody asked for: both are left.
-func TestIdleConnectionThatEnded(t *testing.T) {
-	for _, after := range []string{"", whole} {
+func TestClosedIdleConnection(t *testing.T) {
+	for _, after := range []string{"", okResponse} {
 		is := is.New(t)
 		s := serveConns(t, func(c net.Conn, br *bufio.Reader, n int32) {
 			for readRequest(br) {
-				_, _ = io.WriteString(c, whole)
+				_, _ = io.WriteString(c, okResponse)
 				if n == 1 {
 					_, _ = io.WriteString(c, after)
 					if after == "" {
@@ -144,7 +144,7 @@
 		p := newPool()
 		_, err := get(t, p, s)
 		is.NoErr(err)
-		waitUnquiet(t, p, s.address)
+		waitNotIdle(t, p, s.address)
 		text, err := get(t, p, s)
 		is.NoErr(err)
 		is.Equal(text, "ok")
@@ -153,14 +153,14 @@
 	}
 }
 
-// waitUnquiet waits until the end, or the byte, has reached the kept connection.
-func waitUnquiet(t *testing.T, p *Pool, address string) {
+// waitNotIdle waits until the end, or the byte, has reached the kept connection.
+func waitNotIdle(t *testing.T, p *Pool, address string) {
 	t.Helper()
 	limit := time.Now().Add(10 * time.Second)
 	for time.Now().Before(limit) {
 		p.mu.Lock()
 		list := p.idle[address]
-		quiet := len(list) > 0 && list[0].quiet()
+		quiet := len(list) > 0 && list[0].isIdle()
 		p.mu.Unlock()
 		if !quiet {
 			return
@@ -169,13 +169,13 @@
 	t.Fatal("the connection stays quiet")
 }
 
-// TestAnswerOfAnother passes over an answer to another request, and takes the one
+// TestMismatchedResponse passes over an answer to another request, and takes the one
 // that is recognised.
-func TestAnswerOfAnother(t *testing.T) {
+func TestMismatchedResponse(t *testing.T) {
 	is := is.New(t)
 	s := serveConns(t, func(c net.Conn, br *bufio.Reader, _ int32) {
 		for readRequest(br) {
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 9\r\nContent-Length: 5\r\n\r\nwrong"+whole)
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 9\r\nContent-Length: 5\r\n\r\nwrong"+okResponse)
 		}
 	})
 	p := newPool()
@@ -185,8 +185,8 @@
 	is.Equal(text, "ok")
 }
 
-// TestOnlyOtherAnswers gives up when the right answer does not come.
-func TestOnlyOtherAnswers(t *testing.T) {
+// TestOnlyMismatchedResponses gives up when the right answer does not come.
+func TestOnlyMismatchedResponses(t *testing.T) {
 	is := is.New(t)
 	s := serveConns(t, func(c net.Conn, br *bufio.Reader, _ int32) {
 		if readRequest(br) {
@@ -199,20 +199,20 @@
 	is.True(errors.Is(err, runworks.ErrBackend))
 }
 
-// TestEarlyAnswer answers a long body before it was read: the connection must not
+// TestEarlyResponse answers a long body before it was read: the connection must not
 // be used again, as the server may read the rest of the body there.
-func TestEarlyAnswer(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	s := serveConns(t, func(c net.Conn, br *bufio.Reader, n int32) {
 		if n == 1 {
 			_, _ = br.ReadString('\n')
-			_, _ = io.WriteString(c, whole)
+			_, _ = io.WriteString(c, okResponse)
 			<-release
 			return
 		}
 		for readRequest(br) {
-			_, _ = io.WriteString(c, whole)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
 	defer close(release)
@@ -230,9 +230,9 @@
 	is.Equal(s.conns.Load(), int32(2))
 }
 
-// TestUnframedAnswer takes an answer without a length to its connection's end, and
+// TestUnframedResponse takes an answer without a length to its connection's end, and
 // does not take it for whole when the connection is reset.
-func TestUnframedAnswer(t *testing.T) {
+func TestUnframedResponse(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		is := is.New(t)
 		s := serveConns(t, func(c net.Conn, br *bufio.Reader, _ int32) {
@@ -291,15 +291,15 @@
 	is.NoErr(res.Body.Close())
 }
 
-// TestUnwanted asks whether a request is still wanted once a connection is there: nothing
+// TestBeforeSendError asks whether a request is still wanted once a connection is there: nothing
 // of one that is not leaves, and the connection serves the next.
-func TestUnwanted(t *testing.T) {
+func TestBeforeSendError(t *testing.T) {
 	is := is.New(t)
 	var arrivals atomic.Int32
 	s := serveConns(t, func(c net.Conn, br *bufio.Reader, _ int32) {
 		for readRequest(br) {
 			arrivals.Add(1)
-			_, _ = io.WriteString(c, whole)
+			_, _ = io.WriteString(c, okResponse)
 		}
 	})
 	p := newPool()
@@ -314,10 +314,10 @@
 	is.Equal(s.conns.Load(), int32(1))
 }
 
-// TestForget closes the unused connections to an address: the next request opens one.
-func TestForget(t *testing.T) {
+// TestCloseIdle closes the unused connections to an address: the next request opens one.
+func TestCloseIdle(t *testing.T) {
 	is := is.New(t)
-	s := serveConns(t, answerWhole)
+	s := serveConns(t, respondOK)
 	p := newPool()
 	defer p.Close()
 	for range 2 {
@@ -325,8 +325,8 @@
 		is.NoErr(err)
 	}
 	is.Equal(s.conns.Load(), int32(1))
-	p.Forget("127.0.0.1:1")
-	p.Forget(s.address)
+	p.CloseIdle("127.0.0.1:1")
+	p.CloseIdle(s.address)
 	<-s.closed
 	_, err := get(t, p, s)
 	is.NoErr(err)
--- a/modules/logging/bounded.go
+++ b/modules/logging/bounded.go
@@ -8,12 +8,12 @@
 	"golang.org/x/time/rate"
 )
 
-// queuedLines bounds the lines that wait to be written.
-const queuedLines = 1024
+// maxQueuedLines bounds the lines that wait to be written.
+const maxQueuedLines = 1024
 
-// Bounded writes lines beside the caller: it never blocks, and what comes too
+// BoundedWriter writes lines beside the caller: it never blocks, and what comes too
 // fast is dropped and counted.
-type Bounded struct {
+type BoundedWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	limit   *rate.Limiter
@@ -22,11 +22,11 @@
 	quit, done chan struct{}
 }
 
-// NewBounded starts a writer of at most perSecond lines a second, and as many at
+// NewBoundedWriter starts a writer of at most perSecond lines a second, and as many at
 // once.
-func NewBounded(out io.Writer, perSecond int) *Bounded {
-	b := &Bounded{
-		out: out, lines: make(chan []byte, queuedLines), quit: make(chan struct{}), done: make(chan struct{}),
+func NewBoundedWriter(out io.Writer, perSecond int) *BoundedWriter {
+	b := &BoundedWriter{
+		out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{}),
 		limit: rate.NewLimiter(rate.Limit(perSecond), perSecond),
 	}
 	go b.run()
@@ -34,7 +34,7 @@
 }
 
 // Write takes one line; it never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if b.closed() || !b.limit.AllowN(time.Now(), 1) {
 		b.dropped.Add(1)
 		return len(line), nil
@@ -48,16 +48,16 @@
 }
 
 // Dropped gives how many lines were dropped since the start.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close writes what waits. Lines that come after it are dropped: connections that end with
 // the process may still have something to tell.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	close(b.quit)
 	<-b.done
 }
 
-func (b *Bounded) closed() bool {
+func (b *BoundedWriter) closed() bool {
 	select {
 	case <-b.quit:
 		return true
@@ -66,21 +66,21 @@
 	}
 }
 
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	defer close(b.done)
 	for {
 		select {
 		case line := <-b.lines:
 			b.write(line)
 		case <-b.quit:
-			b.writeRest()
+			b.drain()
 			return
 		}
 	}
 }
 
-// writeRest writes the lines that wait.
-func (b *Bounded) writeRest() {
+// drain writes the lines that wait.
+func (b *BoundedWriter) drain() {
 	for {
 		select {
 		case line := <-b.lines:
@@ -91,7 +91,7 @@
 	}
 }
 
-func (b *Bounded) write(line []byte) {
+func (b *BoundedWriter) write(line []byte) {
 	// Nothing can be done about a log that can't be written.
 	_, _ = b.out.Write(line)
 }
--- a/modules/logging/bounded_test.go
+++ b/modules/logging/bounded_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 )
 
-// stuck is a writer that blocks until it is released.
-type stuck struct {
+// blockedWriter is a writer that blocks until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	out     bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.out.Write(p)
 }
@@ -26,19 +26,19 @@
 func TestBoundedNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &stuck{release: make(chan struct{})}
-		b := NewBounded(out, 1<<20)
-		const lines = queuedLines + 100
+		out := &blockedWriter{release: make(chan struct{})}
+		b := NewBoundedWriter(out, 1<<20)
+		const lines = maxQueuedLines + 100
 		for range lines {
 			n, err := b.Write([]byte("x\n"))
 			is.NoErr(err)
 			is.Equal(n, 2)
 			synctest.Wait()
 		}
-		is.Equal(b.Dropped(), int64(lines-queuedLines-1)) // one is in the writer's hand
+		is.Equal(b.Dropped(), int64(lines-maxQueuedLines-1)) // one is in the writer's hand
 		close(out.release)
 		b.Close()
-		is.Equal(out.out.Len(), 2*(queuedLines+1))
+		is.Equal(out.out.Len(), 2*(maxQueuedLines+1))
 	})
 }
 
@@ -47,7 +47,7 @@
 func TestBoundedAfterClose(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	b := NewBounded(&out, 10)
+	b := NewBoundedWriter(&out, 10)
 	_, _ = b.Write([]byte("x"))
 	b.Close()
 	n, err := b.Write([]byte("late"))
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
-		b := NewBounded(&out, 10)
+		b := NewBoundedWriter(&out, 10)
 		for range 3 {
 			for range 50 {
 				_, _ = b.Write([]byte("x"))
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -31,8 +31,8 @@
 	FirstByteSeconds metric.Float64Histogram
 	// Claims counts claims by result: granted, gone, lost.
 	Claims metric.Int64Counter
-	// TicketsRefused counts tickets an agent did not hold, by reason.
-	TicketsRefused metric.Int64Counter
+	// ReservationsRefused counts tickets an agent did not hold, by reason.
+	ReservationsRefused metric.Int64Counter
 	// Resumes counts answer streams picked up again at an offset.
 	Resumes metric.Int64Counter
 	// Retries counts requests placed again, by cause.
@@ -41,21 +41,21 @@
 	Dispatches metric.Int64Counter
 	// WastedTokens counts prompt tokens given to an engine and thrown away.
 	WastedTokens metric.Int64Counter
-	// Dropped counts answers that nobody waited for.
-	Dropped metric.Int64Counter
+	// DroppedResponses counts answers that nobody waited for.
+	DroppedResponses metric.Int64Counter
 	// ControlBytes counts bytes on control connections, by direction.
 	ControlBytes metric.Int64Counter
 	// BadRecords counts records on the store that name no backend server to use.
 	BadRecords metric.Int64Counter
-	// ServerEnds counts calls whose backend server ended under them, by rank.
-	ServerEnds metric.Int64Counter
+	// ServerExits counts calls whose backend server ended under them, by rank.
+	ServerExits metric.Int64Counter
 	// Quarantined counts calls that were refused as their request ended backend servers, by
 	// rank.
 	Quarantined metric.Int64Counter
-	// ServerWords counts what backend servers said of themselves, by what it was.
-	ServerWords metric.Int64Counter
-	// StoreReturns counts how often the store came back from an older copy.
-	StoreReturns metric.Int64Counter
+	// ServerReports counts what backend servers said of themselves, by what it was.
+	ServerReports metric.Int64Counter
+	// StoreRestores counts how often the store came back from an older copy.
+	StoreRestores metric.Int64Counter
 	// Keys counts claims of idempotency keys by verdict.
 	Keys metric.Int64Counter
 }
@@ -70,27 +70,27 @@
 	provider := sdk.NewMeterProvider(sdk.WithReader(exporter))
 	b := builder{meter: provider.Meter("runworks")}
 	s := &Set{
-		meter:            b.meter,
-		handler:          promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
-		Requests:         b.counter("runworks.requests", "requests by tier and outcome"),
-		Goodput:          b.counter("runworks.goodput", "requests done inside their time limit, by tier"),
-		Refused:          b.counter("runworks.refused", "requests given up on, by tier and cause"),
-		WaitSeconds:      b.seconds("runworks.wait", "time from admission to the grant, by tier"),
-		FirstByteSeconds: b.seconds("runworks.first_byte", "time from admission to the answer's head, by tier"),
-		Claims:           b.counter("runworks.claims", "claims by result"),
-		TicketsRefused:   b.counter("runworks.tickets_refused", "tickets an agent did not hold, by reason"),
-		Resumes:          b.counter("runworks.resumes", "answer streams picked up again at an offset"),
-		Retries:          b.counter("runworks.retries", "requests placed again, by cause"),
-		Dispatches:       b.counter("runworks.dispatches", "calls sent to the backend server, by tier rank"),
-		WastedTokens:     b.counter("runworks.wasted_prompt_tokens", "prompt tokens given to an engine and thrown away"),
-		Dropped:          b.counter("runworks.answers_dropped", "answers that nobody waited for"),
-		ControlBytes:     b.counter("runworks.control_bytes", "bytes on control connections, by direction"),
-		BadRecords:       b.counter("runworks.records_refused", "records on the store that name no backend server to use"),
-		ServerEnds:       b.counter("runworks.calls_ended_with_server", "calls whose backend server ended under them, by rank"),
-		Quarantined:      b.counter("runworks.quarantined", "calls refused as their request ended backend servers, by rank"),
-		ServerWords:      b.counter("runworks.server_words", "backend servers' words that they leave or want rest"),
-		StoreReturns:     b.counter("runworks.store_returns", "returns of the store from an older copy"),
-		Keys:             b.counter("runworks.keys", "claims of idempotency keys, by verdict"),
+		meter:               b.meter,
+		handler:             promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
+		Requests:            b.counter("runworks.requests", "requests by tier and outcome"),
+		Goodput:             b.counter("runworks.goodput", "requests done inside their time limit, by tier"),
+		Refused:             b.counter("runworks.refused", "requests given up on, by tier and cause"),
+		WaitSeconds:         b.seconds("runworks.wait", "time from admission to the grant, by tier"),
+		FirstByteSeconds:    b.seconds("runworks.first_byte", "time from admission to the answer's head, by tier"),
+		Claims:              b.counter("runworks.claims", "claims by result"),
+		ReservationsRefused: b.counter("runworks.tickets_refused", "tickets an agent did not hold, by reason"),
+		Resumes:             b.counter("runworks.resumes", "answer streams picked up again at an offset"),
+		Retries:             b.counter("runworks.retries", "requests placed again, by cause"),
+		Dispatches:          b.counter("runworks.dispatches", "calls sent to the backend server, by tier rank"),
+		WastedTokens:        b.counter("runworks.wasted_prompt_tokens", "prompt tokens given to an engine and thrown away"),
+		DroppedResponses:    b.counter("runworks.answers_dropped", "answers that nobody waited for"),
+		ControlBytes:        b.counter("runworks.control_bytes", "bytes on control connections, by direction"),
+		BadRecords:          b.counter("runworks.records_refused", "records on the store that name no backend server to use"),
+		ServerExits:         b.counter("runworks.calls_ended_with_server", "calls whose backend server ended under them, by rank"),
+		Quarantined:         b.counter("runworks.quarantined", "calls refused as their request ended backend servers, by rank"),
+		ServerReports:       b.counter("runworks.server_words", "backend servers' words that they leave or want rest"),
+		StoreRestores:       b.counter("runworks.store_returns", "returns of the store from an older copy"),
+		Keys:                b.counter("runworks.keys", "claims of idempotency keys, by verdict"),
 	}
 	return s, b.err
 }
@@ -120,8 +120,8 @@
 // Result is the label for how something ended.
 func Result(name string) attribute.KeyValue { return attribute.String("result", name) }
 
-// Word is the label for what a backend server said of itself.
-func Word(name string) attribute.KeyValue { return attribute.String("word", name) }
+// ReportKind is the label for what a backend server said of itself.
+func ReportKind(name string) attribute.KeyValue { return attribute.String("word", name) }
 
 // CountControl adds the bytes of a control connection.
 func (s *Set) CountControl(read, written int) {
@@ -156,18 +156,18 @@
 
 func (b *builder) counter(name, text string) metric.Int64Counter {
 	c, err := b.meter.Int64Counter(name, metric.WithDescription(text))
-	b.note(err)
+	b.setErr(err)
 	return c
 }
 
 func (b *builder) seconds(name, text string) metric.Float64Histogram {
 	bounds := metric.WithExplicitBucketBoundaries(0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.53, 1, 2.5, 5, 15, 60, 300)
 	h, err := b.meter.Float64Histogram(name, metric.WithDescription(text), metric.WithUnit("s"), bounds)
-	b.note(err)
+	b.setErr(err)
 	return h
 }
 
-func (b *builder) note(err error) {
+func (b *builder) setErr(err error) {
 	if b.err == nil && err != nil {
 		b.err = err
 	}
--- a/modules/platform/client.go
+++ b/modules/platform/client.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxReplyBytes = 64 << 20
-	callTimeout   = 5 * time.Second
+	maxResponseBytes = 64 << 20
+	callTimeout      = 5 * time.Second
 )
 
 // Log is a client of the log service at Address.
@@ -27,14 +27,14 @@
 	Client *http.Client
 }
 
-// appended is the answer to an append.
-type appended struct {
+// appendResponse is the answer to an append.
+type appendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
 // Append implements runworks.LogService.
 func (l *Log) Append(ctx context.Context, data []byte) (int64, error) {
-	var out appended
+	var out appendResponse
 	// The reader hides its type: net/http must not send an append twice.
 	body := io.NopCloser(bytes.NewReader(data))
 	if err := call(ctx, l.Client, http.MethodPost, l.Address+"/records", body, &out); err != nil {
@@ -89,7 +89,7 @@
 		return err
 	}
 	defer func() { _ = res.Body.Close() }()
-	limited := io.LimitReader(res.Body, maxReplyBytes)
+	limited := io.LimitReader(res.Body, maxResponseBytes)
 	if res.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(limited)
 		return errorx.ExternalError.New("%s: %s", res.Status, bytes.TrimSpace(text))
--- a/modules/rpc/frames.go
+++ b/modules/rpc/frames.go
@@ -19,13 +19,13 @@
 const FramesHeader = "Runworks-Frames"
 
 const (
-	// framesForm is the form of frames that this version writes and reads.
-	framesForm = "2"
-	// frameMark begins a frame; no JSON text begins with it.
-	frameMark = 0
-	// maxMessage bounds what a peer may have this process hold for one message, in
+	// framesVersion is the form of frames that this version writes and reads.
+	framesVersion = "2"
+	// frameMarker begins a frame; no JSON text begins with it.
+	frameMarker = 0
+	// maxMessageBytes bounds what a peer may have this process hold for one message, in
 	// bytes: many times a whole state of the largest fleet.
-	maxMessage = 32 << 20
+	maxMessageBytes = 32 << 20
 	// frameTimeout bounds the writing of a frame, many times what it takes: a peer that does
 	// not read must not hold up those that are written to behind it.
 	frameTimeout = 300 * time.Millisecond
@@ -39,26 +39,26 @@
 // times a second would else be scanned eight times as JSON.
 type Conn struct {
 	*jsonrpc2.Conn
-	objects *objects
-	// Frames says that the peer reads frames.
-	Frames bool
+	messages *messageStream
+	// SupportsFrames says that the peer reads frames.
+	SupportsFrames bool
 }
 
 // ServeFrames is Serve for a connection that carries frames; onFrame may be nil if none
 // are expected.
 func ServeFrames(ctx context.Context, stream *Stream, handle HandleFunc, onFrame FrameFunc) *Conn {
-	o := &objects{stream: stream, reader: bufio.NewReader(stream), onFrame: onFrame}
-	return &Conn{Conn: newConn(ctx, o, handle), objects: o, Frames: stream.frames}
+	o := &messageStream{stream: stream, reader: bufio.NewReader(stream), onFrame: onFrame}
+	return &Conn{Conn: newConn(ctx, o, handle), messages: o, SupportsFrames: stream.peerFrames}
 }
 
 // SendFrame writes a frame. After an error the connection is of no use.
 func (c *Conn) SendFrame(data []byte) error {
-	return c.objects.write(append([]byte{frameMark}, data...), time.Now().Add(frameTimeout))
+	return c.messages.write(append([]byte{frameMarker}, data...), time.Now().Add(frameTimeout))
 }
 
-// objects writes and reads messages, each behind its length: JSON texts for JSON-RPC,
+// messageStream writes and reads messages, each behind its length: JSON texts for JSON-RPC,
 // and frames.
-type objects struct {
+type messageStream struct {
 	stream  *Stream
 	reader  *bufio.Reader
 	onFrame FrameFunc
@@ -67,7 +67,7 @@
 }
 
 // WriteObject implements jsonrpc2.ObjectStream.
-func (o *objects) WriteObject(obj any) error {
+func (o *messageStream) WriteObject(obj any) error {
 	data, err := json.Marshal(obj)
 	if err != nil {
 		return errorx.Decorate(err, "encode a message")
@@ -76,7 +76,7 @@
 }
 
 // write writes a message whole, or fails; a zero deadline is none.
-func (o *objects) write(data []byte, deadline time.Time) error {
+func (o *messageStream) write(data []byte, deadline time.Time) error {
 	message := binary.AppendUvarint(make([]byte, 0, binary.MaxVarintLen64+len(data)), uint64(len(data)))
 	message = append(message, data...)
 	o.mu.Lock()
@@ -89,13 +89,13 @@
 }
 
 // ReadObject implements jsonrpc2.ObjectStream; frames on the way go to onFrame.
-func (o *objects) ReadObject(v any) error {
+func (o *messageStream) ReadObject(v any) error {
 	for {
 		data, err := o.read()
 		if err != nil {
 			return err
 		}
-		if len(data) == 0 || data[0] != frameMark {
+		if len(data) == 0 || data[0] != frameMarker {
 			return json.Unmarshal(data, v)
 		}
 		if o.onFrame == nil {
@@ -107,13 +107,13 @@
 	}
 }
 
-func (o *objects) read() ([]byte, error) {
+func (o *messageStream) read() ([]byte, error) {
 	size, err := binary.ReadUvarint(o.reader)
 	if err != nil {
 		return nil, err
 	}
-	if size > maxMessage {
-		return nil, errorx.IllegalFormat.New("a message of %d bytes, more than %d", size, maxMessage)
+	if size > maxMessageBytes {
+		return nil, errorx.IllegalFormat.New("a message of %d bytes, more than %d", size, maxMessageBytes)
 	}
 	data := make([]byte, size)
 	_, err = io.ReadFull(o.reader, data)
@@ -121,7 +121,7 @@
 }
 
 // Close implements jsonrpc2.ObjectStream.
-func (o *objects) Close() error { return o.stream.Close() }
+func (o *messageStream) Close() error { return o.stream.Close() }
 
-// readsFrames says whether a process told in a header that it reads this version's frames.
-func readsFrames(header http.Header) bool { return header.Get(FramesHeader) == framesForm }
+// supportsFrames says whether a process told in a header that it reads this version's frames.
+func supportsFrames(header http.Header) bool { return header.Get(FramesHeader) == framesVersion }
--- a/modules/rpc/frames_test.go
+++ b/modules/rpc/frames_test.go
@@ -16,18 +16,18 @@
 )
 
 // pipe gives the two ends of a connection.
-func pipe() (near, far *Stream) {
+func pipe() (local, remote *Stream) {
 	a, b := net.Pipe()
 	return &Stream{Conn: a, reader: bufio.NewReader(a)}, &Stream{Conn: b, reader: bufio.NewReader(b)}
 }
 
-// TestFramesKeepTheirOrder hands frames and notifications over in the order in which they
+// TestFramesKeepOrder hands frames and notifications over in the order in which they
 // were sent.
-func TestFramesKeepTheirOrder(t *testing.T) {
+func TestFramesKeepOrder(t *testing.T) {
 	is := is.New(t)
-	near, far := pipe()
+	local, remote := pipe()
 	got := make(chan string, 10)
-	ServeFrames(t.Context(), far,
+	ServeFrames(t.Context(), remote,
 		func(_ context.Context, _ string, params json.RawMessage) (any, error) {
 			got <- string(params)
 			return nil, nil
@@ -36,7 +36,7 @@
 			got <- string(data)
 			return nil
 		})
-	conn := ServeFrames(t.Context(), near, nil, nil)
+	conn := ServeFrames(t.Context(), local, nil, nil)
 	is.NoErr(conn.SendFrame([]byte("one")))
 	is.NoErr(conn.Notify(t.Context(), "m", 2))
 	is.NoErr(conn.SendFrame(nil))
@@ -47,9 +47,9 @@
 	_ = conn.Close()
 }
 
-// TestBadFrameEndsTheConnection closes a connection whose frame is refused, whose frames
+// TestBadFrameClosesConnection closes a connection whose frame is refused, whose frames
 // nobody takes, or whose message is longer than any can be.
-func TestBadFrameEndsTheConnection(t *testing.T) {
+func TestBadFrameClosesConnection(t *testing.T) {
 	refuse := func([]byte) error { return errorx.IllegalFormat.New("refused") }
 	for _, c := range []struct {
 		name    string
@@ -62,26 +62,26 @@
 		{"empty", refuse, "\x00"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			near, far := pipe()
-			conn := ServeFrames(t.Context(), far, nil, c.onFrame)
-			_, err := near.Write([]byte(c.message))
+			local, remote := pipe()
+			conn := ServeFrames(t.Context(), remote, nil, c.onFrame)
+			_, err := local.Write([]byte(c.message))
 			is.New(t).NoErr(err)
 			<-conn.DisconnectNotify()
 		})
 	}
 }
 
-// TestStuckPeerHoldsNobodyUp gives up writing to a peer that reads nothing.
-func TestStuckPeerHoldsNobodyUp(t *testing.T) {
+// TestStuckPeerTimesOut gives up writing to a peer that reads nothing.
+func TestStuckPeerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		near, far := pipe()
-		conn := ServeFrames(t.Context(), near, nil, nil)
+		local, remote := pipe()
+		conn := ServeFrames(t.Context(), local, nil, nil)
 		began := time.Now()
 		err := conn.SendFrame([]byte(strings.Repeat("x", 1000)))
 		is.True(os.IsTimeout(err))
 		is.Equal(time.Since(began), frameTimeout)
 		_ = conn.Close()
-		_ = far.Close()
+		_ = remote.Close()
 	})
 }
--- a/modules/rpc/rpc.go
+++ b/modules/rpc/rpc.go
@@ -34,8 +34,8 @@
 // first is shown, all are accepted, so that keys change without a stop.
 type FleetKeys []string
 
-// Shown gives the key that this process shows to others.
-func (k FleetKeys) Shown() string {
+// Primary gives the key that this process shows to others.
+func (k FleetKeys) Primary() string {
 	if len(k) == 0 {
 		return ""
 	}
@@ -44,11 +44,11 @@
 
 // Accept says, in constant time for each key, whether a request shows a key.
 func (k FleetKeys) Accept(r *http.Request) bool {
-	shown := sha256.Sum256([]byte(r.Header.Get(KeyHeader)))
+	presented := sha256.Sum256([]byte(r.Header.Get(KeyHeader)))
 	accepted := 0
 	for _, key := range k {
 		want := sha256.Sum256([]byte(key))
-		accepted |= subtle.ConstantTimeCompare(shown[:], want[:])
+		accepted |= subtle.ConstantTimeCompare(presented[:], want[:])
 	}
 	return accepted == 1
 }
@@ -56,13 +56,13 @@
 // Stream is an upgraded connection.
 type Stream struct {
 	net.Conn
-	// Count is told the bytes that were read and written; it may be nil. Set it
+	// OnBytes is told the bytes that were read and written; it may be nil. Set it
 	// before Serve.
-	Count func(read, written int)
+	OnBytes func(read, written int)
 
 	reader *bufio.Reader
-	// frames says that the peer reads frames.
-	frames bool
+	// peerFrames says that the peer reads peerFrames.
+	peerFrames bool
 }
 
 // Read reads what the HTTP layer had buffered first.
@@ -80,8 +80,8 @@
 }
 
 func (s *Stream) count(read, written int) {
-	if s.Count != nil {
-		s.Count(read, written)
+	if s.OnBytes != nil {
+		s.OnBytes(read, written)
 	}
 }
 
@@ -111,8 +111,8 @@
 	}
 	req.Header.Set("Connection", "Upgrade")
 	req.Header.Set("Upgrade", protocol)
-	req.Header.Set(KeyHeader, keys.Shown())
-	req.Header.Set(FramesHeader, framesForm)
+	req.Header.Set(KeyHeader, keys.Primary())
+	req.Header.Set(FramesHeader, framesVersion)
 	if err := req.Write(conn); err != nil {
 		return nil, errorx.Decorate(err, "ask %s for the upgrade", address)
 	}
@@ -125,7 +125,7 @@
 	if res.StatusCode != http.StatusSwitchingProtocols {
 		return nil, errorx.IllegalState.New("%s refused the control connection: %s", address, res.Status)
 	}
-	return &Stream{Conn: conn, reader: reader, frames: readsFrames(res.Header)}, nil
+	return &Stream{Conn: conn, reader: reader, peerFrames: supportsFrames(res.Header)}, nil
 }
 
 // Accept turns a request at Path into a control connection.
@@ -138,16 +138,16 @@
 	if err != nil {
 		return nil, errorx.Decorate(err, "take over the connection")
 	}
-	frames := readsFrames(r.Header)
+	frames := supportsFrames(r.Header)
 	head := "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + protocol + "\r\n"
 	if frames {
-		head += FramesHeader + ": " + framesForm + "\r\n"
+		head += FramesHeader + ": " + framesVersion + "\r\n"
 	}
 	if _, err := io.WriteString(conn, head+"\r\n"); err != nil {
 		_ = conn.Close()
 		return nil, errorx.Decorate(err, "confirm the upgrade")
 	}
-	return &Stream{Conn: conn, reader: buffered.Reader, frames: frames}, nil
+	return &Stream{Conn: conn, reader: buffered.Reader, peerFrames: frames}, nil
 }
 
 // HandleFunc answers one message; params is the raw JSON of its parameters.
--- a/modules/setting/front.go
+++ b/modules/setting/front.go
@@ -15,8 +15,8 @@
 	// up to 3 s after the signal may last until the end of the grace; half a second less
 	// leaves a busy host time to learn of the signal and to read a call.
 	DefaultStopNotice = 2500 * time.Millisecond
-	// DefaultSilence is when a connection whose peer confirms nothing is given up.
-	DefaultSilence = 3 * time.Second
+	// DefaultPeerTimeout is when a connection whose peer confirms nothing is given up.
+	DefaultPeerTimeout = 3 * time.Second
 	// DefaultRetryRatio is the part of a retry that each call earns.
 	DefaultRetryRatio = 0.1
 	// DefaultRetrySlack lets a fleet that just started send a few calls once more.
@@ -30,8 +30,8 @@
 	DefaultQuarantineAfter = 3
 	// DefaultQuarantineFor is for how long: one that is never mended ends a server an hour.
 	DefaultQuarantineFor = time.Hour
-	// DefaultLogLines bounds the log lines of a second.
-	DefaultLogLines = 300
+	// DefaultLogLinesPerSecond bounds the log lines of a second.
+	DefaultLogLinesPerSecond = 300
 )
 
 // Front are the settings of a front: an entry on a platform whose store names the
@@ -57,8 +57,8 @@
 	Grace time.Duration `yaml:"grace"`
 	// StopNotice is how long calls are taken after readiness turned red.
 	StopNotice time.Duration `yaml:"stop_notice"`
-	// Silence is when a connection whose peer confirms nothing is given up.
-	Silence time.Duration `yaml:"silence"`
+	// PeerTimeout is when a connection whose peer confirms nothing is given up.
+	PeerTimeout time.Duration `yaml:"silence"`
 	// RetryRatio is the part of a retry that each call earns.
 	RetryRatio float64 `yaml:"retry_ratio"`
 	// RetrySlack is how many retries all fronts together may make beyond that.
@@ -81,8 +81,8 @@
 	MemoryMB int64 `yaml:"memory_mb"`
 	// Log says how log lines are written.
 	Log Log `yaml:"log"`
-	// LogLines bounds the log lines of a second; what is more is counted.
-	LogLines int `yaml:"log_lines"`
+	// LogLinesPerSecond bounds the log lines of a second; what is more is counted.
+	LogLinesPerSecond int `yaml:"log_lines"`
 	// Traces says where spans go.
 	Traces Traces `yaml:"traces"`
 }
@@ -90,17 +90,17 @@
 // LoadFront reads and checks a front's settings.
 func LoadFront(file string) (*Front, error) {
 	s := &Front{
-		Grace: DefaultGrace, StopNotice: DefaultStopNotice, Silence: DefaultSilence, RetryRatio: DefaultRetryRatio, RetrySlack: DefaultRetrySlack,
+		Grace: DefaultGrace, StopNotice: DefaultStopNotice, PeerTimeout: DefaultPeerTimeout, RetryRatio: DefaultRetryRatio, RetrySlack: DefaultRetrySlack,
 		RetryWindow: DefaultRetryWindow, QuotaWindow: DefaultQuotaWindow, QuarantineAfter: DefaultQuarantineAfter, QuarantineFor: DefaultQuarantineFor,
-		MaxBodyBytes: DefaultMaxBodyBytes, LogLines: DefaultLogLines, Log: Log{JSON: true}, Traces: Traces{Sampled: 1},
+		MaxBodyBytes: DefaultMaxBodyBytes, LogLinesPerSecond: DefaultLogLinesPerSecond, Log: Log{JSON: true}, Traces: Traces{Sampled: 1},
 	}
 	return s, load(file, s, s.check)
 }
 
 func (s *Front) check() []yamlfile.Mistake {
 	m := &mistakes{}
-	m.needed("name", s.Name)
-	m.needed("hall", s.Hall)
+	m.required("name", s.Name)
+	m.required("hall", s.Hall)
 	m.address("listen", s.Listen)
 	m.address("ready", s.Ready)
 	m.address("peers", s.Peers)
@@ -109,7 +109,7 @@
 	m.fleetKeys(s.FleetKeys)
 	m.positive("grace", s.Grace)
 	m.positive("stop_notice", s.StopNotice)
-	m.positive("silence", s.Silence)
+	m.positive("silence", s.PeerTimeout)
 	m.positive("retry_window", s.RetryWindow)
 	m.positive("quota_window", s.QuotaWindow)
 	if s.StopNotice >= s.Grace {
@@ -134,8 +134,8 @@
 	if s.MemoryMB < 0 {
 		m.add("memory_mb", "%d is negative", s.MemoryMB)
 	}
-	if s.LogLines <= 0 {
-		m.add("log_lines", "%d is not above zero", s.LogLines)
+	if s.LogLinesPerSecond <= 0 {
+		m.add("log_lines", "%d is not above zero", s.LogLinesPerSecond)
 	}
 	m.log(&s.Log)
 	m.traces(&s.Traces)
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -14,14 +14,14 @@
 
 // Defaults of the settings.
 const (
-	DefaultBalancerDelay = 5 * time.Second
-	DefaultStopLimit     = 15 * time.Minute
-	DefaultConfigPoll    = time.Second
-	DefaultHostsPoll     = time.Second
-	DefaultListSettle    = 5 * time.Second
-	DefaultRestateEvery  = 10 * time.Minute
-	DefaultMaxBodyBytes  = 8 << 20
-	DefaultKeySkew       = 5 * time.Second
+	DefaultBalancerDelay     = 5 * time.Second
+	DefaultStopLimit         = 15 * time.Minute
+	DefaultConfigPoll        = time.Second
+	DefaultHostsPoll         = time.Second
+	DefaultListSettle        = 5 * time.Second
+	DefaultRepublishInterval = 10 * time.Minute
+	DefaultMaxBodyBytes      = 8 << 20
+	DefaultKeySkew           = 5 * time.Second
 )
 
 const minFleetKeyBytes = 16
@@ -42,9 +42,9 @@
 	FleetKeys []string `yaml:"fleet_keys"`
 	// ConfigPoll is the time between reads of the log.
 	ConfigPoll time.Duration `yaml:"config_poll"`
-	// RestateEvery is how long after it last stood on the log the configuration
+	// RepublishInterval is how long after it last stood on the log the configuration
 	// is put there again; well inside the log's retention time.
-	RestateEvery time.Duration `yaml:"restate_every"`
+	RepublishInterval time.Duration `yaml:"restate_every"`
 	// StopLimit bounds a planned stop; what runs then is cut.
 	StopLimit time.Duration `yaml:"stop_limit"`
 	// Log says how log lines are written.
@@ -115,7 +115,7 @@
 
 func defaults() Common {
 	return Common{
-		ConfigPoll: DefaultConfigPoll, RestateEvery: DefaultRestateEvery, StopLimit: DefaultStopLimit,
+		ConfigPoll: DefaultConfigPoll, RepublishInterval: DefaultRepublishInterval, StopLimit: DefaultStopLimit,
 		Traces: Traces{Sampled: 1},
 	}
 }
@@ -137,7 +137,7 @@
 	m.list = append(m.list, yamlfile.Mistake{Field: "$." + field, Problem: fmt.Sprintf(format, args...)})
 }
 
-func (m *mistakes) needed(field, value string) {
+func (m *mistakes) required(field, value string) {
 	if value == "" {
 		m.add(field, "must not be empty")
 	}
@@ -163,14 +163,14 @@
 }
 
 func (m *mistakes) common(c *Common) {
-	m.needed("name", c.Name)
-	m.needed("hall", c.Hall)
+	m.required("name", c.Name)
+	m.required("hall", c.Hall)
 	m.address("listen", c.Listen)
 	m.address("operators", c.Operators)
 	m.url("log_service", c.LogService)
 	m.fleetKeys(c.FleetKeys)
 	m.positive("config_poll", c.ConfigPoll)
-	m.positive("restate_every", c.RestateEvery)
+	m.positive("restate_every", c.RepublishInterval)
 	m.positive("stop_limit", c.StopLimit)
 	m.log(&c.Log)
 	m.traces(&c.Traces)
@@ -224,7 +224,7 @@
 func (s *Agent) check() []yamlfile.Mistake {
 	m := &mistakes{}
 	m.common(&s.Common)
-	m.needed("server", s.Server)
+	m.required("server", s.Server)
 	if s.MaxWaiting < 0 {
 		m.add("max_waiting", "%d is negative", s.MaxWaiting)
 	}
--- a/modules/stream/buffer.go
+++ b/modules/stream/buffer.go
@@ -18,13 +18,13 @@
 	// before it drops the oldest.
 	Limit int
 
-	mu       sync.Mutex
-	data     []byte
-	base     int64
-	furthest int64
-	closed   bool
-	err      error
-	changed  notify.Change
+	mu         sync.Mutex
+	data       []byte
+	base       int64
+	readOffset int64
+	closed     bool
+	err        error
+	changed    notify.Change
 }
 
 // Write appends, and waits while Limit bytes are unread; ctx ends the wait.
@@ -50,7 +50,7 @@
 		return nil, errorx.IllegalState.New("write after close")
 	}
 	end := b.base + int64(len(b.data))
-	unread := end - b.furthest
+	unread := end - b.readOffset
 	if unread > 0 && unread+int64(len(p)) > int64(b.Limit) {
 		return b.changed.Wait(), nil
 	}
@@ -66,7 +66,7 @@
 	if over <= 0 {
 		return
 	}
-	read := int(b.furthest - b.base)
+	read := int(b.readOffset - b.base)
 	n := min(over, read)
 	b.data = append([]byte(nil), b.data[n:]...)
 	b.base += int64(n)
@@ -107,8 +107,8 @@
 		return nil, false, nil, ErrDropped
 	}
 	last := b.base + int64(len(b.data))
-	if from > b.furthest {
-		b.furthest = min(from, last)
+	if from > b.readOffset {
+		b.readOffset = min(from, last)
 		b.changed.Signal()
 	}
 	if from < last {
--- a/modules/suspend/suspend.go
+++ b/modules/suspend/suspend.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// DefaultEvery is how often the clocks are compared: a part of what callers wait for.
-	DefaultEvery = 250 * time.Millisecond
-	// leastLost is the least time that counts as a suspension: some times what passes
+	// DefaultInterval is how often the clocks are compared: a part of what callers wait for.
+	DefaultInterval = 250 * time.Millisecond
+	// minSuspension is the least time that counts as a suspension: some times what passes
 	// between the readings of the two clocks on a busy host.
-	leastLost = 100 * time.Millisecond
+	minSuspension = 100 * time.Millisecond
 )
 
 // Clock gives the time since some point, in a clock of the system's.
 type Clock func() (time.Duration, error)
 
-// Boot gives the time since the host's start.
-func Boot() (time.Duration, error) { return read(unix.CLOCK_BOOTTIME) }
+// BootTime gives the time since the host's start.
+func BootTime() (time.Duration, error) { return read(unix.CLOCK_BOOTTIME) }
 
-// Steady gives the part of that time in which the host was not suspended, by which a process's
+// Monotonic gives the part of that time in which the host was not suspended, by which a process's
 // own ages and timers go.
-func Steady() (time.Duration, error) { return read(unix.CLOCK_MONOTONIC) }
+func Monotonic() (time.Duration, error) { return read(unix.CLOCK_MONOTONIC) }
 
 func read(clock int32) (time.Duration, error) {
 	var t unix.Timespec
@@ -35,29 +35,29 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Watch compares the clocks; set the exported fields before Run.
-type Watch struct {
-	// Every is DefaultEvery if zero.
-	Every time.Duration
-	// Boot and Steady are the functions above if nil.
-	Boot, Steady Clock
-	// OnWake is told after a suspension how long it was.
-	OnWake func(lost time.Duration)
+// Monitor compares the clocks; set the exported fields before Run.
+type Monitor struct {
+	// Interval is DefaultEvery if zero.
+	Interval time.Duration
+	// BootTime and Monotonic are the functions above if nil.
+	BootTime, Monotonic Clock
+	// OnResume is told after a suspension how long it was.
+	OnResume func(lost time.Duration)
 }
 
 // Run compares the clocks until ctx ends; the error says that one can't be read, and is nil
 // at the end of ctx.
-func (w *Watch) Run(ctx context.Context) error {
-	every := w.Every
-	if every == 0 {
-		every = DefaultEvery
+func (w *Monitor) Run(ctx context.Context) error {
+	interval := w.Interval
+	if interval == 0 {
+		interval = DefaultInterval
 	}
 	before, err := w.suspended()
 	if err != nil {
 		return err
 	}
 	for {
-		pause.For(ctx, every)
+		pause.For(ctx, interval)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -65,18 +65,18 @@
 		if err != nil {
 			return err
 		}
-		if lost := now - before; lost >= leastLost {
+		if lost := now - before; lost >= minSuspension {
 			before = now
-			w.OnWake(lost)
+			w.OnResume(lost)
 		}
 	}
 }
 
 // suspended is how long the host has been suspended since its start.
-func (w *Watch) suspended() (time.Duration, error) {
-	boot, steady := w.Boot, w.Steady
+func (w *Monitor) suspended() (time.Duration, error) {
+	boot, steady := w.BootTime, w.Monotonic
 	if boot == nil {
-		boot, steady = Boot, Steady
+		boot, steady = BootTime, Monotonic
 	}
 	all, err := boot()
 	if err != nil {
--- a/modules/tcp/idle.go
+++ b/modules/tcp/idle.go
@@ -12,8 +12,8 @@
 // IdleTimeout above zero and NoteState as its ConnState.
 type IdleListener struct {
 	net.Listener
-	// Limit gives the bound in force.
-	Limit func() time.Duration
+	// IdleTimeout gives the bound in force.
+	IdleTimeout func() time.Duration
 }
 
 // Accept implements net.Listener.
@@ -22,11 +22,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &idleConn{Conn: conn, limit: l.Limit}, nil
+	return &idleConn{Conn: conn, timeout: l.IdleTimeout}, nil
 }
 
-// NoteState follows whether a connection rests.
-func NoteState(c net.Conn, state http.ConnState) {
+// TrackIdle follows whether a connection rests.
+func TrackIdle(c net.Conn, state http.ConnState) {
 	if conn, ok := c.(*idleConn); ok {
 		conn.idle.Store(state == http.StateIdle)
 	}
@@ -35,15 +35,15 @@
 // idleConn puts the limit in force in the place of the server's own.
 type idleConn struct {
 	net.Conn
-	limit func() time.Duration
-	idle  atomic.Bool
+	timeout func() time.Duration
+	idle    atomic.Bool
 }
 
 // SetReadDeadline implements net.Conn: a server that lets the connection rest sets
 // its idle limit here.
 func (c *idleConn) SetReadDeadline(t time.Time) error {
 	if c.idle.Load() && !t.IsZero() {
-		t = time.Now().Add(c.limit())
+		t = time.Now().Add(c.timeout())
 	}
 	return c.Conn.SetReadDeadline(t)
 }
--- a/modules/tcp/look.go
+++ b/modules/tcp/state.go
@@ -11,42 +11,42 @@
 
 // The states of a connection.
 const (
-	// Quiet means that it is open and has nothing to read.
-	Quiet State = iota
-	// Pending means that it has bytes to read.
-	Pending
-	// Ended means that its peer closed or reset it.
-	Ended
+	// Idle means that it is open and has nothing to read.
+	Idle State = iota
+	// Readable means that it has bytes to read.
+	Readable
+	// Closed means that its peer closed or reset it.
+	Closed
 )
 
-// Look says what a connection shows now, straight from the operating system and beside a
+// PeekState says what a connection shows now, straight from the operating system and beside a
 // read that waits. A connection that is no socket is quiet.
-func Look(c net.Conn) State {
+func PeekState(c net.Conn) State {
 	if idle, ok := c.(*idleConn); ok {
 		c = idle.Conn
 	}
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	state := Ended
+	state := Closed
 	// Control, unlike Read, does not wait for the read that is under way.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
-			state = Quiet
+			state = Idle
 		case err == nil && n > 0:
-			state = Pending
+			state = Readable
 		}
 	})
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
@@ -60,9 +60,9 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// PeerLeft says whether the peer closed the connection that a request came on. A server
+// PeerClosed says whether the peer closed the connection that a request came on. A server
 // learns that by a read of its own, which a short processor share can hold up by seconds.
-func PeerLeft(ctx context.Context) bool {
+func PeerClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(net.Conn)
-	return ok && Look(c) == Ended
+	return ok && PeekState(c) == Closed
 }
--- a/modules/tcp/look_test.go
+++ b/modules/tcp/state_test.go
@@ -13,50 +13,50 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// untilState waits until a connection shows a state.
-func untilState(t *testing.T, c net.Conn, want State) {
+// waitState waits until a connection shows a state.
+func waitState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-		if Look(c) == want {
+		if PeekState(c) == want {
 			return
 		}
 	}
-	t.Fatalf("the connection shows %d, not %d", Look(c), want)
+	t.Fatalf("the connection shows %d, not %d", PeekState(c), want)
 }
 
-// TestLook tells what a connection shows while a read of it waits, and without taking
+// TestPeekState tells what a connection shows while a read of it waits, and without taking
 // anything from it.
-func TestLook(t *testing.T) {
+func TestPeekState(t *testing.T) {
 	is := is.New(t)
-	l, err := Options{Silence: time.Second}.Listen(context.Background(), "127.0.0.1:0")
+	l, err := Options{PeerTimeout: time.Second}.Listen(context.Background(), "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
-	idle := &IdleListener{Listener: l, Limit: func() time.Duration { return time.Minute }}
+	idle := &IdleListener{Listener: l, IdleTimeout: func() time.Duration { return time.Minute }}
 	peer, err := net.Dial("tcp", l.Addr().String())
 	is.NoErr(err)
 	c, err := idle.Accept()
 	is.NoErr(err)
-	untilState(t, c, Quiet)
+	waitState(t, c, Idle)
 	_, err = io.WriteString(peer, "ab")
 	is.NoErr(err)
-	untilState(t, c, Pending)
+	waitState(t, c, Readable)
 	both := make([]byte, 2)
 	_, err = io.ReadFull(c, both)
 	is.NoErr(err)
 	is.Equal(string(both), "ab")
-	untilState(t, c, Quiet)
+	waitState(t, c, Idle)
 	read := make(chan error, 1)
 	go func() {
 		_, err := c.Read(both)
 		read <- err
 	}()
-	is.Equal(Look(c), Quiet)
+	is.Equal(PeekState(c), Idle)
 	is.NoErr(peer.Close())
-	untilState(t, c, Ended)
+	waitState(t, c, Closed)
 	is.True(<-read != nil)
 	is.NoErr(c.Close())
-	is.Equal(Look(c), Ended)
-	is.Equal(Look(memnetConn(t)), Quiet)
+	is.Equal(PeekState(c), Closed)
+	is.Equal(PeekState(memnetConn(t)), Idle)
 }
 
 // memnetConn gives a connection that is no socket, as a listener with an idle limit does.
@@ -68,32 +68,32 @@
 		t.Fatal(err)
 	}
 	go func() { _, _ = network.Dialer("caller")(context.Background(), "tcp", "front:1") }()
-	c, err := (&IdleListener{Listener: inner, Limit: func() time.Duration { return time.Minute }}).Accept()
+	c, err := (&IdleListener{Listener: inner, IdleTimeout: func() time.Duration { return time.Minute }}).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// TestPeerLeft tells a server's handler that the caller closed its connection.
-func TestPeerLeft(t *testing.T) {
+// TestPeerClosed tells a server's handler that the caller closed its connection.
+func TestPeerClosed(t *testing.T) {
 	is := is.New(t)
-	is.True(!PeerLeft(context.Background()))
-	entered, left := make(chan bool), make(chan bool)
+	is.True(!PeerClosed(context.Background()))
+	entered, closed := make(chan bool), make(chan bool)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	server := &http.Server{ //nolint:gosec // a test's server
 		ConnContext: WithConn,
 		Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-			entered <- PeerLeft(r.Context())
+			entered <- PeerClosed(r.Context())
 			end := time.Now().Add(10 * time.Second)
-			for !PeerLeft(r.Context()) && time.Now().Before(end) {
+			for !PeerClosed(r.Context()) && time.Now().Before(end) {
 			}
-			left <- PeerLeft(r.Context())
+			closed <- PeerClosed(r.Context())
 		}),
 	}
 	go func() {
-		_ = server.Serve(&IdleListener{Listener: l, Limit: func() time.Duration { return time.Minute }})
+		_ = server.Serve(&IdleListener{Listener: l, IdleTimeout: func() time.Duration { return time.Minute }})
 	}()
 	defer func() { _ = server.Close() }()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -102,5 +102,5 @@
 	is.NoErr(err)
 	is.True(!<-entered)
 	is.NoErr(c.Close())
-	is.True(<-left)
+	is.True(<-closed)
 }
--- a/modules/tcp/tcp.go
+++ b/modules/tcp/tcp.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// probes is how many unanswered probes end an idle connection.
-const probes = 3
+// keepAliveProbes is how many unanswered keepAliveProbes end an idle connection.
+const keepAliveProbes = 3
 
 // Options say when a connection whose peer confirms nothing is given up.
 type Options struct {
-	Silence time.Duration
+	PeerTimeout time.Duration
 }
 
 // Dial opens a connection, like net.Dialer.DialContext.
@@ -33,8 +33,8 @@
 }
 
 func (o Options) keepAlive() net.KeepAliveConfig {
-	every := max(o.Silence/probes, time.Second)
-	return net.KeepAliveConfig{Enable: true, Idle: every, Interval: every, Count: probes}
+	interval := max(o.PeerTimeout/keepAliveProbes, time.Second)
+	return net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes}
 }
 
 // control bounds how long sent bytes may stay unconfirmed; accepted connections
@@ -42,7 +42,7 @@
 func (o Options) control(_, _ string, raw syscall.RawConn) error {
 	var set error
 	err := raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.Silence.Milliseconds()))
+		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.PeerTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return errorx.Decorate(err, "reach the socket")
--- a/modules/tcp/tcp_test.go
+++ b/modules/tcp/tcp_test.go
@@ -20,7 +20,7 @@
 // TestDial opens a connection with its options set.
 func TestDial(t *testing.T) {
 	is := is.New(t)
-	o := Options{Silence: 3 * time.Second}
+	o := Options{PeerTimeout: 3 * time.Second}
 	l, err := o.Listen(context.Background(), "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
@@ -31,22 +31,22 @@
 	is.True(err != nil)
 }
 
-// TestIdleLimitChanges lets connections rest as long as the limit in force allows,
+// TestIdleTimeoutChanges lets connections rest as long as the limit in force allows,
 // also those that were opened under another.
-func TestIdleLimitChanges(t *testing.T) {
+func TestIdleTimeoutChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := memnet.New(time.Millisecond)
 		inner, err := network.Listen("front:1")
 		is.NoErr(err)
-		var limit atomic.Int64
-		limit.Store(int64(10 * time.Second))
+		var timeout atomic.Int64
+		timeout.Store(int64(10 * time.Second))
 		server := &http.Server{ //nolint:gosec // a test's server
 			Handler:     http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
-			IdleTimeout: time.Minute, ConnState: NoteState,
+			IdleTimeout: time.Minute, ConnState: TrackIdle,
 		}
 		go func() {
-			_ = server.Serve(&IdleListener{Listener: inner, Limit: func() time.Duration { return time.Duration(limit.Load()) }})
+			_ = server.Serve(&IdleListener{Listener: inner, IdleTimeout: func() time.Duration { return time.Duration(timeout.Load()) }})
 		}()
 		conn, err := network.Dialer("caller")(context.Background(), "tcp", "front:1")
 		is.NoErr(err)
@@ -54,7 +54,7 @@
 		get(t, conn, br)
 		time.Sleep(9 * time.Second)
 		get(t, conn, br) // inside the limit
-		limit.Store(int64(20 * time.Second))
+		timeout.Store(int64(20 * time.Second))
 		get(t, conn, br)
 		time.Sleep(19 * time.Second)
 		get(t, conn, br) // inside the new one
--- a/modules/tracing/tracing.go
+++ b/modules/tracing/tracing.go
@@ -36,12 +36,12 @@
 	return propagator.Extract(ctx, header)
 }
 
-// None is a tracer that records nothing.
-func None() trace.Tracer { return noop.NewTracerProvider().Tracer("runworks") }
+// Noop is a tracer that records nothing.
+func Noop() trace.Tracer { return noop.NewTracerProvider().Tracer("runworks") }
 
 // Provider sends spans to an OTLP endpoint, a URL; Shutdown flushes them.
 type Provider struct {
-	sdk *sdk.TracerProvider
+	provider *sdk.TracerProvider
 }
 
 // NewProvider builds a provider for the OTLP/HTTP endpoint; sampled is the
@@ -53,14 +53,14 @@
 	}
 	sampler := sdk.ParentBased(sdk.TraceIDRatioBased(sampled))
 	named := resource.NewSchemaless(attribute.String("service.name", process))
-	return &Provider{sdk: sdk.NewTracerProvider(sdk.WithBatcher(exporter), sdk.WithSampler(sampler), sdk.WithResource(named))}, nil
+	return &Provider{provider: sdk.NewTracerProvider(sdk.WithBatcher(exporter), sdk.WithSampler(sampler), sdk.WithResource(named))}, nil
 }
 
 // Tracer gives the tracer of the processes.
-func (p *Provider) Tracer() trace.Tracer { return p.sdk.Tracer("runworks") }
+func (p *Provider) Tracer() trace.Tracer { return p.provider.Tracer("runworks") }
 
 // Shutdown sends what is left.
-func (p *Provider) Shutdown(ctx context.Context) error { return p.sdk.Shutdown(ctx) }
+func (p *Provider) Shutdown(ctx context.Context) error { return p.provider.Shutdown(ctx) }
 
 // End ends a span and marks an error on it.
 func End(span trace.Span, err error) {
--- a/modules/yamlfile/yamlfile.go
+++ b/modules/yamlfile/yamlfile.go
@@ -65,7 +65,7 @@
 	case err != nil && !errors.Is(err, io.EOF):
 		list = append(list, syntaxMistake(err))
 	case check != nil:
-		list = append(list, located(root, check())...)
+		list = append(list, withLines(root, check())...)
 	}
 	if len(list) > 0 {
 		return &Mistakes{File: file, List: list}
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// located fills in the lines of mistakes that were found after decoding.
-func located(root *ast.File, list []Mistake) []Mistake {
+// withLines fills in the lines of mistakes that were found after decoding.
+func withLines(root *ast.File, list []Mistake) []Mistake {
 	for i := range list {
 		list[i].Line = lineOf(root, list[i].Field)
 	}
--- a/services/agent/agent_test.go
+++ b/services/agent/agent_test.go
@@ -59,7 +59,7 @@
 	a = &Agent{
 		Name: "host-e1", Server: "e1", Config: &config.Follower{Logger: hclog.NewNullLogger()},
 		Connect: func(runworks.ServiceKind, string) runworks.Backend { return backend },
-		Logger:  hclog.NewNullLogger(), Metrics: set, Tracer: tracing.None(),
+		Logger:  hclog.NewNullLogger(), Metrics: set, Tracer: tracing.Noop(),
 	}
 	a.Start(t.Context())
 	a.Configure(config.NewInForce(1, &runworks.Config{Services: []runworks.Service{{
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -34,7 +34,7 @@
 // ServeControl serves one control connection of an entry until it ends.
 func (a *Agent) ServeControl(ctx context.Context, stream *rpc.Stream) {
 	l := &link{agent: a, heard: time.Now(), ready: make(chan struct{})}
-	stream.Count = a.Metrics.CountControl
+	stream.OnBytes = a.Metrics.CountControl
 	conn := rpc.Serve(ctx, stream, l.handle)
 	l.conn = conn
 	close(l.ready)
@@ -177,7 +177,7 @@
 	for i := range t.Place {
 		if reason := a.offerLocked(l, &t.Place[i]); reason != "" {
 			refused.List = append(refused.List, control.Refusal{ID: t.Place[i].ID, Reason: reason})
-			metrics.Count(a.Metrics.TicketsRefused, metrics.Cause(string(reason)))
+			metrics.Count(a.Metrics.ReservationsRefused, metrics.Cause(string(reason)))
 		}
 	}
 	for _, id := range t.Withdraw {
@@ -235,7 +235,7 @@
 	if l == nil {
 		return
 	}
-	metrics.Count(a.Metrics.TicketsRefused, metrics.Cause(string(reason)))
+	metrics.Count(a.Metrics.ReservationsRefused, metrics.Cause(string(reason)))
 	refused := control.Refusals{List: []control.Refusal{{ID: w.ID, Reason: reason}}}
 	a.work.Go(func() { _ = l.conn.Notify(a.life, control.MethodRefusals, refused) })
 }
--- a/services/agent/sweep.go
+++ b/services/agent/sweep.go
@@ -64,6 +64,6 @@
 func (a *Agent) dropLocked(r *run) {
 	r.answer = nil
 	if !r.whole {
-		metrics.Count(a.Metrics.Dropped, metrics.Rank(r.ticket.Tier))
+		metrics.Count(a.Metrics.DroppedResponses, metrics.Rank(r.ticket.Tier))
 	}
 }
--- a/services/entry/answer.go
+++ b/services/entry/answer.go
@@ -217,7 +217,7 @@
 	if err != nil {
 		return
 	}
-	req.Header.Set(rpc.KeyHeader, a.at.entry.Keys.Shown())
+	req.Header.Set(rpc.KeyHeader, a.at.entry.Keys.Primary())
 	req.Header.Set(control.HeaderIncarnation, string(a.at.incarnation))
 	if res, err := a.at.entry.client.Do(req); err == nil {
 		_ = res.Body.Close()
--- a/services/entry/link.go
+++ b/services/entry/link.go
@@ -54,7 +54,7 @@
 	linkCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l.life = linkCtx
-	stream.Count = e.Metrics.CountControl
+	stream.OnBytes = e.Metrics.CountControl
 	l.conn = rpc.Serve(linkCtx, stream, l.handle)
 	close(l.ready)
 	defer func() { _ = l.conn.Close() }()
--- a/services/entry/place_test.go
+++ b/services/entry/place_test.go
@@ -31,7 +31,7 @@
 		Tiers: []runworks.Tier{{Name: "urgent", Timeout: time.Minute}},
 		Rules: []runworks.Rule{{Services: []string{"llm"}, Tier: "urgent"}},
 	})
-	e = &Entry{Name: "entry", Config: f, Logger: hclog.NewNullLogger(), Metrics: set, Tracer: tracing.None()}
+	e = &Entry{Name: "entry", Config: f, Logger: hclog.NewNullLogger(), Metrics: set, Tracer: tracing.Noop()}
 	e.Start()
 	return e, testLink(e, "e1"), testLink(e, "e2")
 }
--- a/services/entry/run.go
+++ b/services/entry/run.go
@@ -109,7 +109,7 @@
 
 // do sends a request for the run's stream and takes its head.
 func (a *Response) do(req *http.Request) error {
-	req.Header.Set(rpc.KeyHeader, a.at.entry.Keys.Shown())
+	req.Header.Set(rpc.KeyHeader, a.at.entry.Keys.Primary())
 	req.Header.Set(control.HeaderIncarnation, string(a.at.incarnation))
 	res, err := a.at.entry.client.Do(req)
 	if err != nil {
--- a/services/forward/forward_test.go
+++ b/services/forward/forward_test.go
@@ -145,7 +145,7 @@
 	d.SetServers(threeServers("s"))
 	go d.Run(t.Context())
 	f := &Forwarder{
-		Dispatcher: d, Quota: &quota.Quota{}, Budgets: &Budgets{Slack: 100}, Quarantine: &quarantine.Quarantine{}, Sender: s, Metrics: set, Tracer: tracing.None(),
+		Dispatcher: d, Quota: &quota.Quota{}, Budgets: &Budgets{Slack: 100}, Quarantine: &quarantine.Quarantine{}, Sender: s, Metrics: set, Tracer: tracing.Noop(),
 		Logger: hclog.New(&hclog.LoggerOptions{Output: out, JSONFormat: true}),
 	}
 	f.Table.Store(route.NewTable(testRouting()))
--- a/services/forward/server_exit.go
+++ b/services/forward/server_exit.go
@@ -60,7 +60,7 @@
 // record counts and logs the exit and attributes it to the request if that had only begun to run.
 func (e *serverExit) record() {
 	c := e.call
-	metrics.Count(c.f.Metrics.ServerEnds, metrics.Rank(c.rank))
+	metrics.Count(c.f.Metrics.ServerExits, metrics.Rank(c.rank))
 	c.f.Logger.Warn("backend server exited during a call", "server", e.server.IncarnationID(), "service", c.service, "request", c.in.ID,
 		"fingerprint", e.fingerprint, "customer", c.customerName(), "events", e.events, "fresh", e.fresh)
 	if e.fresh {
--- a/services/peers/send.go
+++ b/services/peers/send.go
@@ -82,7 +82,7 @@
 	defer cancel()
 	for _, conn := range conns {
 		var err error
-		if conn.Frames {
+		if conn.SupportsFrames {
 			err = conn.SendFrame(data)
 		} else {
 			heartbeat.fillOffsets()
--- a/tests/world_test.go
+++ b/tests/world_test.go
@@ -183,7 +183,7 @@
 func (w *world) common(name string) setting.Common {
 	return setting.Common{
 		Name: name, Hall: "a", Listen: name + ":70", Operators: name + ":71", FleetKeys: []string{worldFleet},
-		ConfigPoll: time.Second, RestateEvery: 10 * time.Minute, StopLimit: 15 * time.Minute,
+		ConfigPoll: time.Second, RepublishInterval: 10 * time.Minute, StopLimit: 15 * time.Minute,
 	}
 }
 
