--- a/modules/backend/doc.go
+++ b/modules/backend/doc.go
@@ -1,3 +1,2 @@
-// Package backend reaches backend servers over HTTP, and sends each call at
-// most once.
+// Package backend is an HTTP client for backend servers that sends each call at most once.
 package backend
--- a/modules/backend/http.go
+++ b/modules/backend/http.go
@@ -21,20 +21,21 @@
 	cancelTimeout = 2 * time.Second
 )
 
-// HTTP sends calls to the backend server at Address.
+// HTTP sends calls to the backend server at Address; New creates it.
 type HTTP struct {
-	// Kind says what stands there: only an engine resumes and cancels by id.
+	// Kind is the kind of the server: only an engine can resume and cancel requests by ID.
 	Kind runworks.ServiceKind
 	// Address is the base URL of the backend server.
 	Address string
-	// Dial opens connections; nil is the usual dialer.
+	// Dial opens connections; nil means the default dialer.
 	Dial rpc.DialFunc
 
 	reuse *http.Transport
 	fresh *http.Transport
 }
 
-// New builds a backend for the base URL.
+// New returns a client for the backend server at the base URL address. A nil dial means the
+// default dialer.
 func New(kind runworks.ServiceKind, address string, dial rpc.DialFunc) *HTTP {
 	h := &HTTP{Kind: kind, Address: address, Dial: dial}
 	h.reuse = h.transport(false)
@@ -51,19 +52,20 @@
 	}
 }
 
-// Close lets go of idle connections.
+// Close closes idle connections.
 func (h *HTTP) Close() {
 	h.reuse.CloseIdleConnections()
 	h.fresh.CloseIdleConnections()
 }
 
-// Do implements runworks.Backend.
+// Do implements runworks.Backend. The error is ErrNotDispatched if nothing was sent, and
+// ErrBackend otherwise.
 func (h *HTTP) Do(ctx context.Context, id runworks.RequestID, call *runworks.Call) (*runworks.Reply, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req, err := h.request(httptrace.WithClientTrace(ctx, trace), id, call)
 	if err != nil {
-		return nil, errorx.Decorate(runworks.ErrNotDispatched, "build the call: %v", err)
+		return nil, errorx.Decorate(runworks.ErrNotDispatched, "build the request: %v", err)
 	}
 	res, err := h.transportFor(req).RoundTrip(req) //nolint:bodyclose // the caller closes Reply.Body
 	if err == nil {
@@ -75,7 +77,7 @@
 	return nil, errorx.Decorate(runworks.ErrBackend, "call %s: %v", h.Address, err)
 }
 
-// Resume implements runworks.Backend: GET /requests/{id}?from=N.
+// Resume implements runworks.Backend by GET /requests/{id}?from=N; its error is ErrGone.
 func (h *HTTP) Resume(ctx context.Context, id runworks.RequestID, from int64) (*runworks.Reply, error) {
 	if h.Kind != runworks.KindEngine {
 		return nil, runworks.ErrGone
@@ -83,7 +85,7 @@
 	url := fmt.Sprintf("%s/requests/%s?from=%d", h.Address, id, from)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errorx.Decorate(runworks.ErrGone, "build the resume: %v", err)
+		return nil, errorx.Decorate(runworks.ErrGone, "build the resume request: %v", err)
 	}
 	res, err := h.fresh.RoundTrip(req)
 	if err != nil {
@@ -96,8 +98,8 @@
 	return &runworks.Reply{Status: res.StatusCode, Header: res.Header, Body: res.Body}, nil
 }
 
-// Cancel implements runworks.Backend: DELETE /requests/{id}. An engine that does
-// not know the path gives the call up when its connection ends.
+// Cancel implements runworks.Backend by DELETE /requests/{id}. Errors are ignored: an engine
+// that does not support the path aborts the call when its connection is closed.
 func (h *HTTP) Cancel(ctx context.Context, id runworks.RequestID) {
 	if h.Kind != runworks.KindEngine {
 		return
@@ -113,8 +115,8 @@
 	}
 }
 
-// request builds the HTTP request. Its body hides its type, so that net/http
-// sets no GetBody and can't send the body a second time.
+// request builds the HTTP request. The body is wrapped to hide its type, so that net/http does
+// not set GetBody and cannot send the body a second time.
 func (h *HTTP) request(ctx context.Context, id runworks.RequestID, call *runworks.Call) (*http.Request, error) {
 	var body io.Reader
 	if len(call.Body) > 0 {
@@ -132,8 +134,8 @@
 	return req, nil
 }
 
-// transportFor picks a fresh connection for what net/http would send again by
-// itself on a kept-alive connection that breaks.
+// transportFor returns the transport without keep-alive for requests that net/http would retry
+// by itself if a reused connection broke.
 func (h *HTTP) transportFor(req *http.Request) *http.Transport {
 	if Replayable(req) {
 		return h.fresh
@@ -141,8 +143,8 @@
 	return h.reuse
 }
 
-// Replayable says whether http.Transport may send the request a second time
-// after a reused connection broke: without a body or with GetBody, and with an
+// Replayable reports whether http.Transport may send the request a second time after a reused
+// connection broke. It does so for a request that has no body or has GetBody, and that has an
 // idempotent method or an idempotency key.
 func Replayable(req *http.Request) bool {
 	if req.Body != nil && req.Body != http.NoBody && req.GetBody == nil {
--- a/modules/backend/http_test.go
+++ b/modules/backend/http_test.go
@@ -15,8 +15,8 @@
 	"github.com/runworks/runworks"
 )
 
-// breakingServer is a server that answers the first request on each connection and
-// breaks the connection after it has read the second.
+// breakingServer is a server that responds to the first request on each connection and closes
+// the connection after it has read the second.
 type breakingServer struct {
 	listener net.Listener
 	mu       sync.Mutex
@@ -78,15 +78,15 @@
 	return b.marked
 }
 
-// TestTransportReplay shows that net/http by itself sends some calls twice when a
-// kept-alive connection breaks, and that this package sends each once.
+// TestTransportReplay checks that this package sends each call once when a reused connection
+// breaks, while net/http by itself sends some of them twice.
 func TestTransportReplay(t *testing.T) {
 	tests := []struct {
 		name   string
 		method string
 		body   string
 		key    bool
-		// plain is how often the call arrives through an unguarded transport.
+		// plain is how often the call arrives when it is sent by a default http.Transport.
 		plain int
 	}{
 		{name: "post", method: http.MethodPost, body: "x", plain: 1},
@@ -106,7 +106,7 @@
 
 			unguarded := newBreaking(t)
 			sendUnguarded(t, unguarded, call)
-			is.Equal(unguarded.arrived(), test.plain) // the trap
+			is.Equal(unguarded.arrived(), test.plain) // net/http may send it twice
 
 			guarded := newBreaking(t)
 			h := New(runworks.KindEngine, guarded.url(), nil)
@@ -118,7 +118,7 @@
 	}
 }
 
-// warmUp leaves a kept-alive connection behind.
+// warmUp sends a call that leaves an idle connection in the pool.
 func warmUp(t *testing.T, h *HTTP) {
 	t.Helper()
 	if err := do(t, h, &runworks.Call{Method: http.MethodPost, Path: "/first", Body: []byte("x")}); err != nil {
@@ -157,7 +157,8 @@
 	}
 }
 
-// TestRefusedIsNotDispatched tells a refused connection from a broken one.
+// TestRefusedIsNotDispatched checks that a refused connection is ErrNotDispatched, and that a
+// connection that breaks after the call was sent is ErrBackend.
 func TestRefusedIsNotDispatched(t *testing.T) {
 	is := is.New(t)
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
--- a/modules/group/group.go
+++ b/modules/group/group.go
@@ -1,4 +1,4 @@
-// Package group runs goroutines that a part waits for at its end.
+// Package group runs goroutines that a component waits for when it is closed.
 package group
 
 import (
@@ -7,15 +7,15 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Group runs goroutines until it is closed; the zero value is ready. Unlike a
-// plain wait group it may be asked for more while it is being closed.
+// Group runs goroutines until it is closed. The zero value is ready to use. Unlike with
+// sync.WaitGroup, Go may be called while Close waits.
 type Group struct {
 	mu     sync.Mutex
 	closed bool
 	work   conc.WaitGroup
 }
 
-// Go runs f, or says that the group is closed.
+// Go runs f in a goroutine, or reports false if the group is closed.
 func (g *Group) Go(f func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -26,7 +26,7 @@
 	return true
 }
 
-// Close takes no more goroutines and waits for those that run.
+// Close stops accepting goroutines and waits for those that run.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/modules/group/group_test.go
+++ b/modules/group/group_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestCloseWaitsAndRefuses closes a group that runs, and asks it for more.
+// TestCloseWaitsAndRefuses checks that Close waits for a running goroutine, and that Go refuses
+// another one meanwhile.
 func TestCloseWaitsAndRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/modules/httpconn/do.go
+++ b/modules/httpconn/do.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// maxMismatched bounds the answers that are passed over in search of ours.
+	// maxMismatched limits the responses that are read in search of the matching one.
 	maxMismatched = 3
-	// maxMismatchedBytes bounds what is read of one of them.
+	// maxMismatchedBytes limits the body of a response that is discarded.
 	maxMismatchedBytes = 1 << 20
-	// maxInlineBody is the largest body that is written before the answer is looked
-	// for; larger ones are written beside, as a server may answer early.
+	// maxInlineBody is the largest body in bytes that is written before the response is read.
+	// Larger ones are written concurrently, as a server may respond before it has read them.
 	maxInlineBody = 8 << 10
 )
 
-// Do sends a request once to the address host:port. Wanted, unless nil, is asked when a
-// connection is there, just before the first byte would leave: its error is given back and
-// nothing is sent. Other errors are ErrNotDispatched only if no byte can have left, else
-// ErrBackend. The caller closes the answer's body; the end of ctx cuts the connection.
+// Do sends a request once to address (host:port). If beforeSend is not nil, it is called when
+// a connection is available, just before the first byte is written; if it fails, nothing is
+// sent and Do returns its error. Other errors are ErrNotDispatched if no byte can have been
+// sent, and ErrBackend otherwise. The caller must close the body of the response. When ctx is
+// done, the connection is closed.
 func (p *Pool) Do(ctx context.Context, address string, req *http.Request, beforeSend func() error) (*http.Response, error) {
 	c, err := p.get(ctx, address)
 	if err != nil {
@@ -59,20 +60,20 @@
 	conn *conn
 	req  *http.Request
 	stop func() bool
-	// dispatched is set once a byte of the request may have dispatched.
+	// dispatched is set once a byte of the request may have been sent.
 	dispatched atomic.Bool
-	// written is set once the whole request has been written.
+	// written is set once the complete request has been written.
 	written atomic.Bool
 }
 
-// run writes the request and reads the head of its answer.
+// run writes the request and reads the head of the response.
 func (x *exchange) run() (*http.Response, error) {
 	if x.req.ContentLength <= maxInlineBody {
 		if err := x.write(); err != nil {
 			if !x.dispatched.Load() {
 				return nil, err
 			}
-			// The answer may have come all the same.
+			// The server may have responded before it closed the connection.
 			if res, readErr := x.read(); readErr == nil {
 				return res, nil
 			}
@@ -93,7 +94,7 @@
 	return err
 }
 
-// dispatchWriter notes that a byte was taken by the connection.
+// dispatchWriter records whether the connection accepted a byte.
 type dispatchWriter struct {
 	conn       *conn
 	dispatched *atomic.Bool
@@ -108,8 +109,8 @@
 	return n, err
 }
 
-// read gives the head of the answer that belongs to the request; it passes over
-// informational answers and those of other requests.
+// read returns the head of the response to the request. It skips informational responses and
+// responses to other requests.
 func (x *exchange) read() (*http.Response, error) {
 	for range maxMismatched {
 		res, err := http.ReadResponse(x.conn.br, x.req)
@@ -124,16 +125,17 @@
 			return res, nil
 		}
 		if res.Close || res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-			return nil, errorx.ExternalError.New("the answer to another request took this one's place")
+			return nil, errorx.ExternalError.New("response belongs to another request and its length is unknown")
 		}
 		if _, err := io.CopyN(io.Discard, res.Body, maxMismatchedBytes); !errors.Is(err, io.EOF) {
-			return nil, errorx.ExternalError.New("the answer to another request is too long to pass over")
+			return nil, errorx.ExternalError.New("response to another request is too long to skip")
 		}
 	}
-	return nil, errorx.ExternalError.New("only answers to other requests came")
+	return nil, errorx.ExternalError.New("received only responses to other requests")
 }
 
-// body is an answer's body; at its whole end the connection is kept.
+// body is the body of a response; once it is read completely, the connection returns to the
+// pool.
 type body struct {
 	exchange *exchange
 	res      *http.Response
@@ -141,7 +143,7 @@
 	once     sync.Once
 }
 
-// Read implements io.Reader; io.EOF is only given at the whole end.
+// Read implements io.Reader; it returns io.EOF only at the end of a complete body.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -150,8 +152,7 @@
 	return n, err
 }
 
-// Close implements io.Closer; an answer that was not read to its end takes its
-// connection with it.
+// Close implements io.Closer. If the body was not read completely, it closes the connection.
 func (b *body) Close() error {
 	b.finish(false)
 	return nil
@@ -168,7 +169,7 @@
 	})
 }
 
-// reusable says whether the next request may use the connection.
+// reusable reports whether the next request may use the connection.
 func (x *exchange) reusable(res *http.Response) bool {
 	framed := res.ContentLength >= 0 || len(res.TransferEncoding) > 0
 	return framed && !res.Close && x.written.Load() && x.conn.br.Buffered() == 0
--- a/modules/httpconn/doc.go
+++ b/modules/httpconn/doc.go
@@ -1,5 +1,4 @@
-// Package httpconn sends HTTP/1.1 requests over kept connections, each exactly
-// once: unlike http.Transport it never sends a request again by itself, it says
-// whether a byte of it can have left, and it takes an answer only if the caller
-// of the pool recognises it.
+// Package httpconn sends HTTP/1.1 requests over pooled connections. Unlike http.Transport it
+// never retries a request by itself, its errors distinguish whether a byte of the request can
+// have been sent, and it returns only responses that the pool's MatchResponse accepts.
 package httpconn
--- a/modules/httpconn/exit.go
+++ b/modules/httpconn/exit.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// DefaultProbeTimeout bounds the wait for a refusal, which a host that lives gives
+	// DefaultProbeTimeout limits the wait for a refused connection. A running host refuses
 	// within a few ms.
 	DefaultProbeTimeout = 200 * time.Millisecond
-	// exitWatchTime is how long a connection is watched that a process may have taken in its last
-	// moment: the kernel closes what it had open within a few ms, in any order.
+	// exitWatchTime is how long an accepted connection is watched, as the process may have
+	// accepted it while exiting: the kernel then closes its sockets within a few ms, in any
+	// order.
 	exitWatchTime = 100 * time.Millisecond
 )
 
-// WatchExit calls ended, once and if at all, when the process that listens at an address is
-// proved to be gone: a new connection is refused. That is known at once as a rule; where the
-// connection is taken, it is watched for a moment. A reset alone proves nothing, as a server
-// that has enough connections resets new ones: one more is asked for. One that stays open is
-// kept for the next request.
+// WatchExit calls onExit, at most once, if the process that listens at address has exited,
+// which a refused connection proves. The result is usually known at once; a connection that is
+// accepted is watched for 100 ms. A reset alone proves nothing, as an overloaded server resets
+// new connections, so a second connection is tried. A connection that stays open is kept for
+// the next request.
 func (p *Pool) WatchExit(ctx context.Context, address string, onExit func()) {
 	c, err := p.probe(ctx, address)
 	switch {
 	case isRefused(err):
 		onExit()
 	case errors.Is(err, syscall.ECONNRESET):
-		// The process took it in its last moment, and was gone before it was through: on a
-		// busy host so many as 1,839 of 3,200 end that way.
+		// The process may have accepted the connection while exiting. On a busy host, as many
+		// as 1,839 of 3,200 exits showed as a reset.
 		go p.probeAgain(address, onExit)
 	case err == nil:
 		go p.watchConn(c, onExit)
 	}
 }
 
-// watchConn keeps a connection that stays open, and asks once more for one if it does not.
+// watchConn returns a connection that stays open to the pool, and probes again if it does not.
 func (p *Pool) watchConn(c *conn, onExit func()) {
 	if c.staysOpen() {
 		p.put(c)
@@ -46,7 +47,7 @@
 	p.probeAgain(c.address, onExit)
 }
 
-// probeAgain asks for a connection after one that broke.
+// probeAgain opens a second connection after the first one broke.
 func (p *Pool) probeAgain(address string, onExit func()) {
 	c, err := p.probe(context.Background(), address)
 	switch {
@@ -57,12 +58,13 @@
 	}
 }
 
-// probe asks for a connection that an ended process refuses.
+// probe opens a connection, which is refused if the process has exited.
 func (p *Pool) probe(ctx context.Context, address string) (*conn, error) {
 	return p.open(ctx, address, orDefault(p.ProbeTimeout, DefaultProbeTimeout))
 }
 
-// staysOpen says whether a new connection is still open and silent after a moment.
+// staysOpen reports whether a new connection is still open, with nothing received, after
+// exitWatchTime.
 func (c *conn) staysOpen() bool {
 	if err := c.SetReadDeadline(time.Now().Add(exitWatchTime)); err != nil {
 		return false
--- a/modules/httpconn/exit_test.go
+++ b/modules/httpconn/exit_test.go
@@ -11,14 +11,15 @@
 	"github.com/matryer/is"
 )
 
-// reportsExit says whether WatchEnd tells of an end. One that is to be told is waited for as long as
-// a busy host may take.
+// reportsExit reports whether WatchExit reports an exit. If one is expected, the timeouts allow
+// for a busy host.
 func reportsExit(t *testing.T, p *Pool, address string, expected bool) bool {
 	t.Helper()
 	limit := 2*DefaultProbeTimeout + exitWatchTime
 	p.ProbeTimeout = 0
 	if expected {
-		// A busy host may take seconds to open a connection, and then no end is told.
+		// On a busy host a connection may take seconds to open, and WatchExit would report no
+		// exit after the default timeout.
 		limit, p.ProbeTimeout = time.Minute, 30*time.Second
 	}
 	exited := make(chan struct{}, 1)
@@ -31,8 +32,8 @@
 	}
 }
 
-// TestWatchExit tells a server whose process has ended from one that still listens; the
-// connection that this took is used by the next request.
+// TestWatchExit checks that an exit is reported for a refused connection, but not for a server
+// that listens or does not respond, and that the next request reuses the connection.
 func TestWatchExit(t *testing.T) {
 	is := is.New(t)
 	s := serveConns(t, respondOK)
@@ -50,12 +51,12 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	is.True(!reportsExit(t, p, s.address, false)) // silence is no proof
+	is.True(!reportsExit(t, p, s.address, false)) // a timeout proves nothing
 }
 
-// TestWatchExitResetAfterAccept takes a connection before the listener is gone, and resets it:
-// the refusal of the next one proves the end. A server that resets what it has too much of
-// goes on listening.
+// TestWatchExitResetAfterAccept resets the first connection after it was accepted. An exit is
+// reported only if the second connection is refused: an overloaded server also resets
+// connections, but continues to listen.
 func TestWatchExitResetAfterAccept(t *testing.T) {
 	for _, exits := range []bool{true, false} {
 		is := is.New(t)
@@ -82,7 +83,7 @@
 			c, err := (&net.Dialer{}).DialContext(ctx, network, address)
 			if err == nil {
 				select {
-				case <-done: // the server is through with it, however busy the host is
+				case <-done: // the server has reset it, even on a busy host
 				case <-ctx.Done():
 				}
 			}
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestWatchExitResetDuringConnect asks once more where the first connection was reset before it
-// was through: with the listener gone that proves the end, and with it there nothing.
+// TestWatchExitResetDuringConnect resets the first connection while it is being opened. An exit
+// is reported only if the second connection is refused because the listener is closed.
 func TestWatchExitResetDuringConnect(t *testing.T) {
 	for _, exits := range []bool{true, false} {
 		is := is.New(t)
--- a/modules/httpconn/idle.go
+++ b/modules/httpconn/idle.go
@@ -2,8 +2,8 @@
 
 import "github.com/runworks/runworks/modules/tcp"
 
-// isIdle says whether an unused connection is open and has nothing to read: a
-// byte that nobody asked for belongs to no request.
+// isIdle reports whether an unused connection is open and has nothing to read. Unsolicited
+// bytes belong to no request, so a connection that has some must not be reused.
 func (c *conn) isIdle() bool {
 	return c.br.Buffered() == 0 && tcp.PeekState(c.Conn) == tcp.Idle
 }
--- a/modules/httpconn/pool.go
+++ b/modules/httpconn/pool.go
@@ -15,33 +15,35 @@
 	"github.com/runworks/runworks"
 )
 
-// Defaults of a pool.
+// Default settings of a pool.
 const (
-	// DefaultDialTimeout bounds the opening of a connection on a network of one
-	// region.
+	// DefaultDialTimeout limits the opening of a connection within one region.
 	DefaultDialTimeout = time.Second
-	// DefaultIdleTimeout is how long an unused connection is kept where the server
-	// states no time of its own.
+	// DefaultIdleTimeout is how long an unused connection is kept if the server sends no
+	// Keep-Alive timeout.
 	DefaultIdleTimeout = 10 * time.Second
-	// DefaultMaxIdle bounds the unused connections to one address.
+	// DefaultMaxIdle limits the unused connections to one address.
 	DefaultMaxIdle = 32
-	// idleMargin is how much earlier than the server an unused connection is
-	// let go, for the way there.
+	// idleMargin is how much earlier than the server the pool closes an unused connection, to
+	// allow for network latency.
 	idleMargin = 500 * time.Millisecond
 )
 
-// Pool keeps connections by address; set the exported fields before use.
+// Pool keeps connections by address. The exported fields must be set before use.
 type Pool struct {
-	// Dial opens connections.
+	// Dial opens a connection, like net.Dialer.DialContext.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DialTimeout, Idle and MaxIdle are the defaults above if zero.
+	// DialTimeout limits the opening of a connection; zero means DefaultDialTimeout.
 	DialTimeout time.Duration
+	// IdleTimeout limits how long an unused connection is kept; zero means DefaultIdleTimeout.
+	// A shorter Keep-Alive timeout of the server takes precedence.
 	IdleTimeout time.Duration
-	MaxIdle     int
-	// ProbeTimeout bounds each connection that WatchEnd asks for; DefaultRefusalTimeout if
-	// zero.
+	// MaxIdle limits the unused connections to one address; zero means DefaultMaxIdle.
+	MaxIdle int
+	// ProbeTimeout limits the opening of each connection by WatchExit; zero means
+	// DefaultProbeTimeout.
 	ProbeTimeout time.Duration
-	// MatchResponse says whether an answer belongs to a request; nil takes any.
+	// MatchResponse reports whether a response belongs to a request; nil accepts every response.
 	MatchResponse func(req *http.Request, res *http.Response) bool
 
 	mu   sync.Mutex
@@ -54,11 +56,11 @@
 	address string
 	br      *bufio.Reader
 	expires time.Time
-	// serverIdleTimeout is the idle time that the server stated last; 0 if none.
+	// serverIdleTimeout is the last Keep-Alive timeout that the server sent; 0 if none.
 	serverIdleTimeout time.Duration
 }
 
-// get gives a kept connection or opens one; the error is ErrNotDispatched.
+// get returns a pooled connection or opens one; the error is ErrNotDispatched.
 func (p *Pool) get(ctx context.Context, address string) (*conn, error) {
 	for {
 		c := p.takeIdle(address)
@@ -77,7 +79,7 @@
 	return c, nil
 }
 
-// open opens a connection within a limit; the error is the dialler's.
+// open opens a connection with a timeout; the error is that of Dial.
 func (p *Pool) open(ctx context.Context, address string, limit time.Duration) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -100,7 +102,7 @@
 	return c
 }
 
-// put keeps a connection for the next request.
+// put returns a connection to the pool.
 func (p *Pool) put(c *conn) {
 	keep := orDefault(p.IdleTimeout, DefaultIdleTimeout)
 	if c.serverIdleTimeout > 0 {
@@ -138,8 +140,8 @@
 	}
 }
 
-// CloseIdle closes the unused connections to an address: the server behind them is gone, and
-// a request that is sent on one of them would be lost.
+// CloseIdle closes the unused connections to an address. It is used when the server there has
+// exited, as a request that is sent on one of them would be lost.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -154,7 +156,7 @@
 	}
 }
 
-// readKeepAlive reads the idle time that a server states.
+// readKeepAlive reads the timeout parameter of the Keep-Alive header.
 func (c *conn) readKeepAlive(res *http.Response) {
 	for _, part := range strings.Split(res.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/modules/httpconn/pool_test.go
+++ b/modules/httpconn/pool_test.go
@@ -19,7 +19,7 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok"
 
-// scriptedServer is a server whose connections are handled by a function.
+// scriptedServer is a server that handles each connection with a function.
 type scriptedServer struct {
 	address string
 	conns   atomic.Int32
@@ -51,7 +51,7 @@
 	return s
 }
 
-// readRequest takes one request with its body; false at the connection's end.
+// readRequest reads one request with its body; it reports false at the end of the connection.
 func readRequest(br *bufio.Reader) bool {
 	req, err := http.ReadRequest(br)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return err == nil
 }
 
-// respondOK answers each request of a connection.
+// respondOK sends okResponse to each request of a connection.
 func respondOK(c net.Conn, br *bufio.Reader, _ int32) {
 	for readRequest(br) {
 		_, _ = io.WriteString(c, okResponse)
@@ -89,7 +89,7 @@
 	return req
 }
 
-// get sends a GET and reads its whole answer.
+// get sends a GET request and returns the body of the response.
 func get(t *testing.T, p *Pool, s *scriptedServer) (string, error) {
 	t.Helper()
 	res, err := p.Do(context.Background(), s.address, request(t, http.MethodGet, s.address, ""), nil)
@@ -101,8 +101,8 @@
 	return string(data), err
 }
 
-// TestSentOnce breaks a kept connection under a GET: it may have run, so it is not
-// sent again, as http.Transport would.
+// TestSentOnce breaks a reused connection after a GET request was read. The request may have
+// been executed, so it must not be sent again, as http.Transport would do.
 func TestSentOnce(t *testing.T) {
 	is := is.New(t)
 	var arrivals atomic.Int32
@@ -125,8 +125,8 @@
 	is.Equal(s.conns.Load(), int32(1))
 }
 
-// TestClosedIdleConnection finds a kept connection closed before it is used,
-// and one on which something came that nobody asked for: both are left.
+// TestClosedIdleConnection checks that a pooled connection is not reused if the server closed
+// it or sent unsolicited bytes.
 func TestClosedIdleConnection(t *testing.T) {
 	for _, after := range []string{"", okResponse} {
 		is := is.New(t)
@@ -153,7 +153,7 @@
 	}
 }
 
-// waitNotIdle waits until the end, or the byte, has reached the kept connection.
+// waitNotIdle waits until the close, or the unsolicited bytes, have reached the connection.
 func waitNotIdle(t *testing.T, p *Pool, address string) {
 	t.Helper()
 	limit := time.Now().Add(10 * time.Second)
@@ -166,11 +166,11 @@
 			return
 		}
 	}
-	t.Fatal("the connection stays quiet")
+	t.Fatal("the connection stays idle")
 }
 
-// TestMismatchedResponse passes over an answer to another request, and takes the one
-// that is recognised.
+// TestMismatchedResponse checks that a response to another request is skipped, and that the
+// matching one is returned.
 func TestMismatchedResponse(t *testing.T) {
 	is := is.New(t)
 	s := serveConns(t, func(c net.Conn, br *bufio.Reader, _ int32) {
@@ -185,7 +185,7 @@
 	is.Equal(text, "ok")
 }
 
-// TestOnlyMismatchedResponses gives up when the right answer does not come.
+// TestOnlyMismatchedResponses checks that Do fails if no response matches.
 func TestOnlyMismatchedResponses(t *testing.T) {
 	is := is.New(t)
 	s := serveConns(t, func(c net.Conn, br *bufio.Reader, _ int32) {
@@ -199,8 +199,8 @@
 	is.True(errors.Is(err, runworks.ErrBackend))
 }
 
-// TestEarlyResponse answers a long body before it was read: the connection must not
-// be used again, as the server may read the rest of the body there.
+// TestEarlyResponse sends the response before the long request body was read. The connection
+// must not be reused, as the server would read the rest of the body as the next request.
 func TestEarlyResponse(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -230,8 +230,8 @@
 	is.Equal(s.conns.Load(), int32(2))
 }
 
-// TestUnframedResponse takes an answer without a length to its connection's end, and
-// does not take it for whole when the connection is reset.
+// TestUnframedResponse checks that a response without a length ends with its connection, and
+// that it is reported as incomplete if the connection is reset.
 func TestUnframedResponse(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		is := is.New(t)
@@ -256,7 +256,7 @@
 	}
 }
 
-// TestNotDispatched dials a port where nobody listens: proof that nothing left.
+// TestNotDispatched dials a port without a listener, so that nothing can have been sent.
 func TestNotDispatched(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -267,7 +267,7 @@
 	is.True(errors.Is(err, runworks.ErrNotDispatched))
 }
 
-// TestCancel ends the context: the server sees its connection end.
+// TestCancel checks that the connection is closed when the context is canceled.
 func TestCancel(t *testing.T) {
 	is := is.New(t)
 	s := serveConns(t, func(c net.Conn, br *bufio.Reader, _ int32) {
@@ -291,8 +291,8 @@
 	is.NoErr(res.Body.Close())
 }
 
-// TestBeforeSendError asks whether a request is still wanted once a connection is there: nothing
-// of one that is not leaves, and the connection serves the next.
+// TestBeforeSendError checks that nothing is sent if beforeSend fails, and that the connection
+// is kept for the next request.
 func TestBeforeSendError(t *testing.T) {
 	is := is.New(t)
 	var arrivals atomic.Int32
@@ -314,7 +314,7 @@
 	is.Equal(s.conns.Load(), int32(1))
 }
 
-// TestCloseIdle closes the unused connections to an address: the next request opens one.
+// TestCloseIdle checks that the request after CloseIdle opens a new connection.
 func TestCloseIdle(t *testing.T) {
 	is := is.New(t)
 	s := serveConns(t, respondOK)
--- a/modules/logging/bounded.go
+++ b/modules/logging/bounded.go
@@ -8,22 +8,22 @@
 	"golang.org/x/time/rate"
 )
 
-// maxQueuedLines bounds the lines that wait to be written.
+// maxQueuedLines limits the lines that wait to be written.
 const maxQueuedLines = 1024
 
-// BoundedWriter writes lines beside the caller: it never blocks, and what comes too
-// fast is dropped and counted.
+// BoundedWriter writes log lines in the background and limits their rate. Write never blocks;
+// lines beyond the rate or the queue are dropped and counted.
 type BoundedWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	limit   *rate.Limiter
 	dropped atomic.Int64
-	// quit is closed once no line is taken any more, and done once all are written.
+	// quit is closed when no more lines are accepted, done when all have been written.
 	quit, done chan struct{}
 }
 
-// NewBoundedWriter starts a writer of at most perSecond lines a second, and as many at
-// once.
+// NewBoundedWriter starts a writer to out with a limit of perSecond lines per second, and a
+// burst of the same number.
 func NewBoundedWriter(out io.Writer, perSecond int) *BoundedWriter {
 	b := &BoundedWriter{
 		out: out, lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{}),
@@ -33,7 +33,7 @@
 	return b
 }
 
-// Write takes one line; it never fails.
+// Write implements io.Writer for one line; it never returns an error.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if b.closed() || !b.limit.AllowN(time.Now(), 1) {
 		b.dropped.Add(1)
@@ -47,11 +47,11 @@
 	return len(line), nil
 }
 
-// Dropped gives how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
-// Close writes what waits. Lines that come after it are dropped: connections that end with
-// the process may still have something to tell.
+// Close writes the queued lines. Later lines are dropped, as connections that are closed during
+// shutdown may still log. Close must be called only once.
 func (b *BoundedWriter) Close() {
 	close(b.quit)
 	<-b.done
@@ -79,7 +79,7 @@
 	}
 }
 
-// drain writes the lines that wait.
+// drain writes the queued lines.
 func (b *BoundedWriter) drain() {
 	for {
 		select {
@@ -92,6 +92,6 @@
 }
 
 func (b *BoundedWriter) write(line []byte) {
-	// Nothing can be done about a log that can't be written.
+	// There is no place to report that the log can't be written.
 	_, _ = b.out.Write(line)
 }
--- a/modules/logging/bounded_test.go
+++ b/modules/logging/bounded_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// blockedWriter is a writer that blocks until it is released.
+// blockedWriter is a writer that blocks until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	out     bytes.Buffer
@@ -21,8 +21,8 @@
 	return s.out.Write(p)
 }
 
-// TestBoundedNeverBlocks writes to an output that is stuck: the lines beyond the
-// queue are dropped and counted, the others come once it is free.
+// TestBoundedNeverBlocks writes to an output that blocks: the lines beyond the queue are dropped
+// and counted, the others are written once it is released.
 func TestBoundedNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -35,15 +35,15 @@
 			is.Equal(n, 2)
 			synctest.Wait()
 		}
-		is.Equal(b.Dropped(), int64(lines-maxQueuedLines-1)) // one is in the writer's hand
+		is.Equal(b.Dropped(), int64(lines-maxQueuedLines-1)) // one is being written
 		close(out.release)
 		b.Close()
 		is.Equal(out.out.Len(), 2*(maxQueuedLines+1))
 	})
 }
 
-// TestBoundedAfterClose drops and counts what is written after the end: connections that end
-// with the process may still have something to tell.
+// TestBoundedAfterClose checks that lines after Close are dropped and counted: connections that
+// are closed during shutdown may still log.
 func TestBoundedAfterClose(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -57,7 +57,7 @@
 	is.Equal(b.Dropped(), int64(1))
 }
 
-// TestBoundedRate lets through so many lines a second.
+// TestBoundedRate checks that lines beyond the rate are dropped and counted.
 func TestBoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/modules/logging/logging.go
+++ b/modules/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging builds the loggers of the processes.
+// Package logging creates the loggers of the processes.
 package logging
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// New builds a logger for a process; an empty level is info.
+// New returns a logger for a process that writes to w; an empty level means info.
 func New(w io.Writer, process, level string, asJSON bool) hclog.Logger {
 	if level == "" {
 		level = "info"
--- a/modules/metrics/doc.go
+++ b/modules/metrics/doc.go
@@ -1,3 +1,3 @@
-// Package metrics builds the OpenTelemetry instruments of the processes and
-// serves them in the Prometheus text format.
+// Package metrics creates the OpenTelemetry instruments of the processes and serves them in the
+// Prometheus text format.
 package metrics
--- a/modules/metrics/metrics.go
+++ b/modules/metrics/metrics.go
@@ -13,54 +13,54 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Set holds the instruments of one process. Label sets are bounded: tiers,
-// causes and outcomes, never ids, customers or addresses.
+// Set holds the instruments of one process. To keep the cardinality bounded, labels are tiers,
+// causes and outcomes, but never IDs, customers or addresses.
 type Set struct {
 	handler http.Handler
 	meter   metric.Meter
 
 	// Requests counts requests by tier and outcome.
 	Requests metric.Int64Counter
-	// Goodput counts requests done inside their time limit, by tier.
+	// Goodput counts requests completed within their time limit, by tier.
 	Goodput metric.Int64Counter
-	// Refused counts requests given up on, by tier and cause.
+	// Refused counts abandoned requests, by tier and cause.
 	Refused metric.Int64Counter
 	// WaitSeconds is the time from admission to the grant, in seconds, by tier.
 	WaitSeconds metric.Float64Histogram
-	// FirstByteSeconds is the time from admission to the answer's head, in seconds.
+	// FirstByteSeconds is the time from admission to the head of the response, in seconds, by
+	// tier.
 	FirstByteSeconds metric.Float64Histogram
-	// Claims counts claims by result: granted, gone, lost.
+	// Claims counts claims by result: granted, gone or lost.
 	Claims metric.Int64Counter
-	// ReservationsRefused counts tickets an agent did not hold, by reason.
+	// ReservationsRefused counts reservations that an agent refused, by reason.
 	ReservationsRefused metric.Int64Counter
-	// Resumes counts answer streams picked up again at an offset.
+	// Resumes counts response streams that were resumed at an offset.
 	Resumes metric.Int64Counter
-	// Retries counts requests placed again, by cause.
+	// Retries counts requests that were placed again, by cause.
 	Retries metric.Int64Counter
 	// Dispatches counts calls sent to the backend server, by tier.
 	Dispatches metric.Int64Counter
-	// WastedTokens counts prompt tokens given to an engine and thrown away.
+	// WastedTokens counts prompt tokens that were sent to an engine and then discarded.
 	WastedTokens metric.Int64Counter
-	// DroppedResponses counts answers that nobody waited for.
+	// DroppedResponses counts responses that no caller waited for.
 	DroppedResponses metric.Int64Counter
 	// ControlBytes counts bytes on control connections, by direction.
 	ControlBytes metric.Int64Counter
-	// BadRecords counts records on the store that name no backend server to use.
+	// BadRecords counts records of the store that describe no usable backend server.
 	BadRecords metric.Int64Counter
-	// ServerExits counts calls whose backend server ended under them, by rank.
+	// ServerExits counts calls whose backend server exited while it processed them, by rank.
 	ServerExits metric.Int64Counter
-	// Quarantined counts calls that were refused as their request ended backend servers, by
-	// rank.
+	// Quarantined counts calls that were refused as their request is quarantined, by rank.
 	Quarantined metric.Int64Counter
-	// ServerReports counts what backend servers said of themselves, by what it was.
+	// ServerReports counts server reports of draining or back-off, by kind.
 	ServerReports metric.Int64Counter
-	// StoreRestores counts how often the store came back from an older copy.
+	// StoreRestores counts how often the store was restored from an older copy.
 	StoreRestores metric.Int64Counter
 	// Keys counts claims of idempotency keys by verdict.
 	Keys metric.Int64Counter
 }
 
-// New builds the instruments; they need no exporter to be counted.
+// New creates the instruments and registers them with a registry of their own.
 func New() (*Set, error) {
 	registry := prometheus.NewRegistry()
 	exporter, err := otelprom.New(otelprom.WithRegisterer(registry), otelprom.WithoutScopeInfo())
@@ -95,7 +95,8 @@
 	return s, b.err
 }
 
-// WatchDroppedLines counts the log lines that were dropped since the start.
+// WatchDroppedLines exports the value of dropped, the log lines dropped since the start, as a
+// counter.
 func (s *Set) WatchDroppedLines(dropped func() int64) error {
 	_, err := s.meter.Int64ObservableCounter("runworks.log_lines_dropped", metric.WithDescription("log lines dropped as there were too many"),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
@@ -105,25 +106,25 @@
 	return err
 }
 
-// Handler serves the metrics in the Prometheus text format.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (s *Set) Handler() http.Handler { return s.handler }
 
-// Tier is the label for a tier's name.
+// Tier returns the label for the name of a tier.
 func Tier(name string) attribute.KeyValue { return attribute.String("tier", name) }
 
-// Rank is the label for a tier's rank.
+// Rank returns the label for the rank of a tier.
 func Rank(rank int) attribute.KeyValue { return attribute.Int("rank", rank) }
 
-// Cause is the label for why something happened.
+// Cause returns the label for the cause of an event.
 func Cause(name string) attribute.KeyValue { return attribute.String("cause", name) }
 
-// Result is the label for how something ended.
+// Result returns the label for the result of an operation.
 func Result(name string) attribute.KeyValue { return attribute.String("result", name) }
 
-// ReportKind is the label for what a backend server said of itself.
+// ReportKind returns the label for the kind of a server report.
 func ReportKind(name string) attribute.KeyValue { return attribute.String("word", name) }
 
-// CountControl adds the bytes of a control connection.
+// CountControl adds bytes read from and written to a control connection.
 func (s *Set) CountControl(read, written int) {
 	if read > 0 {
 		Add(s.ControlBytes, read, attribute.String("direction", "read"))
@@ -148,7 +149,7 @@
 	h.Record(context.Background(), seconds, metric.WithAttributes(labels...))
 }
 
-// builder keeps the first error, so that the instruments stand in one list.
+// builder creates instruments and keeps the first error, so that New needs to check only once.
 type builder struct {
 	meter metric.Meter
 	err   error
--- a/modules/notify/notify.go
+++ b/modules/notify/notify.go
@@ -1,14 +1,14 @@
-// Package notify wakes those who wait for a state that a lock guards to change.
+// Package notify wakes goroutines that wait for a change of state.
 package notify
 
-// Change is waited for by any number; the zero value is ready. The owner's lock
-// guards it.
+// Change notifies any number of goroutines of the next change of a state. The zero value is
+// ready to use. It must be guarded by the lock that guards the state.
 type Change struct {
 	next chan struct{}
 }
 
-// Wait gives a channel that is closed at the next Signal. Take it under the lock
-// that guards the state, and wait for it without.
+// Wait returns a channel that is closed at the next Signal. It must be called with the lock
+// held; the lock must be released before receiving from the channel.
 func (c *Change) Wait() <-chan struct{} {
 	if c.next == nil {
 		c.next = make(chan struct{})
@@ -16,7 +16,7 @@
 	return c.next
 }
 
-// Signal wakes all who wait.
+// Signal wakes all waiting goroutines. It must be called with the lock held.
 func (c *Change) Signal() {
 	if c.next != nil {
 		close(c.next)
--- a/modules/notify/wake.go
+++ b/modules/notify/wake.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// Wake ends the wait of one goroutine, or its next wait if it does not wait now. The zero value
-// is ready; it takes a lock of its own.
+// Wake wakes one goroutine. A signal without a waiting goroutine ends the next wait; several of
+// them count as one. The zero value is ready to use, and its methods may be called concurrently.
 type Wake struct {
 	once sync.Once
 	ch   chan struct{}
 }
 
-// C gives the channel to wait on.
+// C returns the channel that receives the signals.
 func (w *Wake) C() <-chan struct{} { return w.channel() }
 
-// Signal ends the wait.
+// Signal ends the current or the next wait; it never blocks.
 func (w *Wake) Signal() {
 	select {
 	case w.channel() <- struct{}{}:
--- a/modules/pause/pause.go
+++ b/modules/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that the end of a context cuts short.
+// Package pause provides sleeps that a context or a channel can interrupt.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends.
+// For waits for d, or until ctx is done.
 func For(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -16,7 +16,7 @@
 	}
 }
 
-// Until waits for d, until wake is signalled, or until ctx ends.
+// Until waits for d, until a receive from wake succeeds, or until ctx is done.
 func Until(ctx context.Context, d time.Duration, wake <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/modules/platform/client.go
+++ b/modules/platform/client.go
@@ -27,15 +27,15 @@
 	Client *http.Client
 }
 
-// appendResponse is the answer to an append.
+// appendResponse is the response to an append.
 type appendResponse struct {
 	Offset int64 `json:"offset"`
 }
 
-// Append implements runworks.LogService.
+// Append implements runworks.LogService. An error does not mean that nothing was appended.
 func (l *Log) Append(ctx context.Context, data []byte) (int64, error) {
 	var out appendResponse
-	// The reader hides its type: net/http must not send an append twice.
+	// The wrapper hides the type of the reader, so that net/http cannot send an append twice.
 	body := io.NopCloser(bytes.NewReader(data))
 	if err := call(ctx, l.Client, http.MethodPost, l.Address+"/records", body, &out); err != nil {
 		return 0, errorx.Decorate(err, "append to the log")
@@ -73,7 +73,7 @@
 	return hosts, nil
 }
 
-// call sends one request and decodes the JSON answer into out.
+// call sends one request and decodes the JSON response into out. It fails after callTimeout.
 func call(ctx context.Context, client *http.Client, method, url string, body io.Reader, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/modules/platform/doc.go
+++ b/modules/platform/doc.go
@@ -1,3 +1,3 @@
-// Package platform speaks to the platform's log service and host list over
-// HTTP, as docs/platform-log.md and docs/platform-hosts.md describe.
+// Package platform contains HTTP clients for the platform's log service and host list, which
+// docs/platform-log.md and docs/platform-hosts.md describe.
 package platform
--- a/modules/rpc/frames.go
+++ b/modules/rpc/frames.go
@@ -14,55 +14,56 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// FramesHeader says on an upgrade, and in its answer, which form of frames a process
-// reads; one that names none gets JSON-RPC alone.
+// FramesHeader names, in an upgrade request and in its response, the frame format version that
+// the sender reads. A process that sends no such header receives only JSON-RPC.
 const FramesHeader = "Runworks-Frames"
 
 const (
-	// framesVersion is the form of frames that this version writes and reads.
+	// framesVersion is the frame format version that this process writes and reads.
 	framesVersion = "2"
-	// frameMarker begins a frame; no JSON text begins with it.
+	// frameMarker is the first byte of a frame; no JSON text starts with it.
 	frameMarker = 0
-	// maxMessageBytes bounds what a peer may have this process hold for one message, in
-	// bytes: many times a whole state of the largest fleet.
+	// maxMessageBytes limits the memory that a peer can make this process allocate for one
+	// message. It is many times the complete state of the largest deployment.
 	maxMessageBytes = 32 << 20
-	// frameTimeout bounds the writing of a frame, many times what it takes: a peer that does
-	// not read must not hold up those that are written to behind it.
+	// frameTimeout limits the write of one frame, so that a peer that does not read cannot
+	// delay the peers that are written to after it. A write normally takes a small fraction
+	// of it.
 	frameTimeout = 300 * time.Millisecond
 )
 
-// FrameFunc takes one frame; an error closes the connection.
+// FrameFunc is called with the payload of each received frame; an error closes the connection.
 type FrameFunc func(data []byte) error
 
-// Conn is a control connection that carries frames beside JSON-RPC, in the order in
-// which both were sent. A frame is bytes that rpc does not look into: what is sent many
-// times a second would else be scanned eight times as JSON.
+// Conn is a control connection that carries binary frames in addition to JSON-RPC; both are
+// delivered in the order in which they were sent. The payload of a frame is opaque to this
+// package: as JSON, messages that are sent many times per second would be scanned eight times.
 type Conn struct {
 	*jsonrpc2.Conn
 	messages *messageStream
-	// SupportsFrames says that the peer reads frames.
+	// SupportsFrames reports whether the peer reads frames.
 	SupportsFrames bool
 }
 
-// ServeFrames is Serve for a connection that carries frames; onFrame may be nil if none
-// are expected.
+// ServeFrames is like Serve for a connection that carries frames. With a nil onFrame, a
+// received frame closes the connection.
 func ServeFrames(ctx context.Context, stream *Stream, handle HandleFunc, onFrame FrameFunc) *Conn {
 	o := &messageStream{stream: stream, reader: bufio.NewReader(stream), onFrame: onFrame}
 	return &Conn{Conn: newConn(ctx, o, handle), messages: o, SupportsFrames: stream.peerFrames}
 }
 
-// SendFrame writes a frame. After an error the connection is of no use.
+// SendFrame writes a frame with the given payload. After an error the connection must be
+// closed, as part of a frame may have been written.
 func (c *Conn) SendFrame(data []byte) error {
 	return c.messages.write(append([]byte{frameMarker}, data...), time.Now().Add(frameTimeout))
 }
 
-// messageStream writes and reads messages, each behind its length: JSON texts for JSON-RPC,
-// and frames.
+// messageStream reads and writes length-prefixed messages: JSON texts for JSON-RPC, and frames.
 type messageStream struct {
 	stream  *Stream
 	reader  *bufio.Reader
 	onFrame FrameFunc
-	// mu keeps messages whole.
+	// mu serializes writes, so that messages do not interleave.
 	mu sync.Mutex
 }
 
@@ -75,7 +76,7 @@
 	return o.write(data, time.Time{})
 }
 
-// write writes a message whole, or fails; a zero deadline is none.
+// write writes one complete message. A zero deadline means no timeout.
 func (o *messageStream) write(data []byte, deadline time.Time) error {
 	message := binary.AppendUvarint(make([]byte, 0, binary.MaxVarintLen64+len(data)), uint64(len(data)))
 	message = append(message, data...)
@@ -88,7 +89,8 @@
 	return err
 }
 
-// ReadObject implements jsonrpc2.ObjectStream; frames on the way go to onFrame.
+// ReadObject implements jsonrpc2.ObjectStream. It passes frames that arrive before the next
+// object to onFrame.
 func (o *messageStream) ReadObject(v any) error {
 	for {
 		data, err := o.read()
@@ -99,7 +101,7 @@
 			return json.Unmarshal(data, v)
 		}
 		if o.onFrame == nil {
-			return errorx.IllegalFormat.New("a frame came on a connection that takes none")
+			return errorx.IllegalFormat.New("unexpected frame on a connection without a frame handler")
 		}
 		if err := o.onFrame(data[1:]); err != nil {
 			return err
@@ -113,7 +115,7 @@
 		return nil, err
 	}
 	if size > maxMessageBytes {
-		return nil, errorx.IllegalFormat.New("a message of %d bytes, more than %d", size, maxMessageBytes)
+		return nil, errorx.IllegalFormat.New("message of %d bytes exceeds the limit of %d bytes", size, maxMessageBytes)
 	}
 	data := make([]byte, size)
 	_, err = io.ReadFull(o.reader, data)
@@ -123,5 +125,5 @@
 // Close implements jsonrpc2.ObjectStream.
 func (o *messageStream) Close() error { return o.stream.Close() }
 
-// supportsFrames says whether a process told in a header that it reads this version's frames.
+// supportsFrames reports whether a header announces the frame format version of this process.
 func supportsFrames(header http.Header) bool { return header.Get(FramesHeader) == framesVersion }
--- a/modules/rpc/frames_test.go
+++ b/modules/rpc/frames_test.go
@@ -15,14 +15,14 @@
 	"github.com/matryer/is"
 )
 
-// pipe gives the two ends of a connection.
+// pipe returns the two ends of an in-memory connection.
 func pipe() (local, remote *Stream) {
 	a, b := net.Pipe()
 	return &Stream{Conn: a, reader: bufio.NewReader(a)}, &Stream{Conn: b, reader: bufio.NewReader(b)}
 }
 
-// TestFramesKeepOrder hands frames and notifications over in the order in which they
-// were sent.
+// TestFramesKeepOrder checks that frames and notifications are delivered in the order in which
+// they were sent.
 func TestFramesKeepOrder(t *testing.T) {
 	is := is.New(t)
 	local, remote := pipe()
@@ -47,8 +47,8 @@
 	_ = conn.Close()
 }
 
-// TestBadFrameClosesConnection closes a connection whose frame is refused, whose frames
-// nobody takes, or whose message is longer than any can be.
+// TestBadFrameClosesConnection checks that the connection is closed when a frame is rejected,
+// when there is no frame handler, and when a message exceeds the size limit.
 func TestBadFrameClosesConnection(t *testing.T) {
 	refuse := func([]byte) error { return errorx.IllegalFormat.New("refused") }
 	for _, c := range []struct {
@@ -57,7 +57,7 @@
 		message string
 	}{
 		{"refused", refuse, "\x02\x00x"},
-		{"not taken", nil, "\x02\x00x"},
+		{"no handler", nil, "\x02\x00x"},
 		{"too long", refuse, "\xff\xff\xff\xff\x7f"},
 		{"empty", refuse, "\x00"},
 	} {
@@ -71,7 +71,8 @@
 	}
 }
 
-// TestStuckPeerTimesOut gives up writing to a peer that reads nothing.
+// TestStuckPeerTimesOut checks that a write to a peer that reads nothing times out. Without
+// the deadline, one stuck peer would block the writes to all others.
 func TestStuckPeerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/modules/rpc/rpc.go
+++ b/modules/rpc/rpc.go
@@ -16,10 +16,10 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Path is where a control connection begins.
+// Path is the URL path at which control connections are requested.
 const Path = "/control"
 
-// KeyHeader carries the fleet key, on control connections and on runs.
+// KeyHeader carries the fleet key, on control connections and on forwarded calls.
 const KeyHeader = "Runworks-Fleet-Key"
 
 const (
@@ -30,11 +30,11 @@
 // DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// FleetKeys are the keys that processes of the system show each other; the
-// first is shown, all are accepted, so that keys change without a stop.
+// FleetKeys are the shared keys by which the processes authenticate to each other. The first
+// is sent and all are accepted, so that keys can be rotated without downtime.
 type FleetKeys []string
 
-// Primary gives the key that this process shows to others.
+// Primary returns the key that this process sends, or "" if there is none.
 func (k FleetKeys) Primary() string {
 	if len(k) == 0 {
 		return ""
@@ -42,7 +42,7 @@
 	return k[0]
 }
 
-// Accept says, in constant time for each key, whether a request shows a key.
+// Accept reports whether a request carries one of the keys. Each comparison takes constant time.
 func (k FleetKeys) Accept(r *http.Request) bool {
 	presented := sha256.Sum256([]byte(r.Header.Get(KeyHeader)))
 	accepted := 0
@@ -56,23 +56,23 @@
 // Stream is an upgraded connection.
 type Stream struct {
 	net.Conn
-	// OnBytes is told the bytes that were read and written; it may be nil. Set it
-	// before Serve.
+	// OnBytes, if not nil, is called with the number of bytes of each read and write. It must
+	// be set before Serve.
 	OnBytes func(read, written int)
 
 	reader *bufio.Reader
-	// peerFrames says that the peer reads peerFrames.
+	// peerFrames is set if the peer reads frames.
 	peerFrames bool
 }
 
-// Read reads what the HTTP layer had buffered first.
+// Read implements io.Reader; it returns what the HTTP layer had buffered first.
 func (s *Stream) Read(p []byte) (int, error) {
 	n, err := s.reader.Read(p)
 	s.count(n, 0)
 	return n, err
 }
 
-// Write writes to the connection.
+// Write implements io.Writer.
 func (s *Stream) Write(p []byte) (int, error) {
 	n, err := s.Conn.Write(p)
 	s.count(0, n)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Dial opens a control connection to the process at the address host:port.
+// Dial opens a control connection to the process at address (host:port). It fails after 2 s.
 func Dial(ctx context.Context, dial DialFunc, address string, keys FleetKeys) (*Stream, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -103,23 +103,23 @@
 	return stream, nil
 }
 
-// upgrade asks the peer to turn the HTTP connection into a control connection.
+// upgrade requests the upgrade of an HTTP connection to a control connection.
 func upgrade(ctx context.Context, conn net.Conn, address string, keys FleetKeys) (*Stream, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+Path, nil)
 	if err != nil {
-		return nil, errorx.Decorate(err, "build the upgrade to %s", address)
+		return nil, errorx.Decorate(err, "build the upgrade request to %s", address)
 	}
 	req.Header.Set("Connection", "Upgrade")
 	req.Header.Set("Upgrade", protocol)
 	req.Header.Set(KeyHeader, keys.Primary())
 	req.Header.Set(FramesHeader, framesVersion)
 	if err := req.Write(conn); err != nil {
-		return nil, errorx.Decorate(err, "ask %s for the upgrade", address)
+		return nil, errorx.Decorate(err, "send the upgrade request to %s", address)
 	}
 	reader := bufio.NewReader(conn)
 	res, err := http.ReadResponse(reader, req)
 	if err != nil {
-		return nil, errorx.Decorate(err, "read the upgrade of %s", address)
+		return nil, errorx.Decorate(err, "read the upgrade response of %s", address)
 	}
 	_ = res.Body.Close()
 	if res.StatusCode != http.StatusSwitchingProtocols {
@@ -128,15 +128,16 @@
 	return &Stream{Conn: conn, reader: reader, peerFrames: supportsFrames(res.Header)}, nil
 }
 
-// Accept turns a request at Path into a control connection.
+// Accept upgrades a request at Path to a control connection. A request without the upgrade
+// header is answered with 426.
 func Accept(w http.ResponseWriter, r *http.Request) (*Stream, error) {
 	if r.Header.Get("Upgrade") != protocol {
 		http.Error(w, "a control connection asks for an upgrade to "+protocol, http.StatusUpgradeRequired)
-		return nil, errorx.IllegalArgument.New("no upgrade to %s asked for", protocol)
+		return nil, errorx.IllegalArgument.New("request without an upgrade to %s", protocol)
 	}
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		return nil, errorx.Decorate(err, "take over the connection")
+		return nil, errorx.Decorate(err, "hijack the connection")
 	}
 	frames := supportsFrames(r.Header)
 	head := "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: " + protocol + "\r\n"
@@ -150,11 +151,12 @@
 	return &Stream{Conn: conn, reader: buffered.Reader, peerFrames: frames}, nil
 }
 
-// HandleFunc answers one message; params is the raw JSON of its parameters.
+// HandleFunc handles one message and returns the result of a call; params is the raw JSON of
+// its parameters.
 type HandleFunc func(ctx context.Context, method string, params json.RawMessage) (any, error)
 
-// Serve starts JSON-RPC on a stream: notifications are handled in their order,
-// calls beside each other. The connection ends with ctx or with the stream.
+// Serve starts JSON-RPC on a stream. Notifications are handled in order, calls concurrently.
+// The connection is closed when ctx is done or the stream ends.
 func Serve(ctx context.Context, stream *Stream, handle HandleFunc) *jsonrpc2.Conn {
 	return newConn(ctx, jsonrpc2.NewBufferedStream(stream, jsonrpc2.VarintObjectCodec{}), handle)
 }
--- a/modules/setting/doc.go
+++ b/modules/setting/doc.go
@@ -1,3 +1,3 @@
-// Package setting loads the settings of the processes, fills in the defaults
-// and checks everything at start.
+// Package setting loads the settings files of the processes, applies the defaults and validates
+// the values.
 package setting
--- a/modules/setting/front.go
+++ b/modules/setting/front.go
@@ -8,86 +8,91 @@
 
 // Defaults of a front's settings.
 const (
-	// DefaultGrace is how long a planned stop may take.
+	// DefaultGrace limits the duration of a planned shutdown.
 	DefaultGrace = 8 * time.Second
-	// DefaultStopNotice is how long streams are taken after readiness turned red: a
-	// balancer that asks each second and wants two misses has noticed by then. Those sent
-	// up to 3 s after the signal may last until the end of the grace; half a second less
-	// leaves a busy host time to learn of the signal and to read a call.
+	// DefaultStopNotice is how long calls are still accepted after the readiness check started
+	// to fail. A load balancer that checks every second and requires two failures has noticed
+	// by then. Streams that are sent within 3 s of the signal may run until the end of the
+	// grace period; the 0.5 s less leave a busy host time to handle the signal and to read a
+	// call.
 	DefaultStopNotice = 2500 * time.Millisecond
-	// DefaultPeerTimeout is when a connection whose peer confirms nothing is given up.
+	// DefaultPeerTimeout is after how long without acknowledgment a connection is closed.
 	DefaultPeerTimeout = 3 * time.Second
-	// DefaultRetryRatio is the part of a retry that each call earns.
+	// DefaultRetryRatio is the number of retries that each call adds to the retry budget.
 	DefaultRetryRatio = 0.1
-	// DefaultRetrySlack lets a fleet that just started send a few calls once more.
+	// DefaultRetrySlack allows a few retries before any calls have added to the budget.
 	DefaultRetrySlack = 20
-	// DefaultRetryWindow is the span over which retries are counted.
+	// DefaultRetryWindow is the time window of the retry budget.
 	DefaultRetryWindow = 10 * time.Second
-	// DefaultQuotaWindow is the span over which the customers' limits are counted.
+	// DefaultQuotaWindow is the time window over which the usage of customers is summed.
 	DefaultQuotaWindow = 8 * time.Second
-	// DefaultQuarantineAfter is under how many ends of backend servers a request is held: one
-	// or two may be those of servers that it only shared with the request that ended them.
+	// DefaultQuarantineAfter is the number of server exits after which a request is
+	// quarantined. One or two of them may be caused by another request that ran on the same
+	// server.
 	DefaultQuarantineAfter = 3
-	// DefaultQuarantineFor is for how long: one that is never mended ends a server an hour.
+	// DefaultQuarantineFor is the duration of a quarantine. A request that is never fixed then
+	// causes one server exit per hour.
 	DefaultQuarantineFor = time.Hour
-	// DefaultLogLinesPerSecond bounds the log lines of a second.
+	// DefaultLogLinesPerSecond limits the log lines per second.
 	DefaultLogLinesPerSecond = 300
 )
 
-// Front are the settings of a front: an entry on a platform whose store names the
-// backend servers and holds the routing.
+// Front holds the settings of a front: an entry on a platform whose store lists the backend
+// servers and holds the routing.
 type Front struct {
 	// Name is the host's name.
 	Name string `yaml:"name"`
-	// Hall is where the host stands.
+	// Hall is the hall in which the host is located.
 	Hall string `yaml:"hall"`
-	// Listen is host:port towards callers.
+	// Listen is the host:port for calls.
 	Listen string `yaml:"listen"`
-	// Ready is host:port where the balancer asks whether to send callers here.
+	// Ready is the host:port of the readiness check for the load balancer.
 	Ready string `yaml:"ready"`
-	// Peers is host:port towards the other fronts.
+	// Peers is the host:port for connections from the other fronts.
 	Peers string `yaml:"peers"`
-	// Operators is host:port towards operators.
+	// Operators is the host:port for operators.
 	Operators string `yaml:"operators"`
-	// Store is host:port of the platform's store.
+	// Store is the host:port of the platform's store.
 	Store string `yaml:"store"`
-	// FleetKeys are shown and accepted between fronts; the first is shown.
+	// FleetKeys authenticate the fronts to each other; the first is sent, all are accepted.
 	FleetKeys []string `yaml:"fleet_keys"`
-	// Grace is how long a planned stop may take.
+	// Grace limits the duration of a planned shutdown.
 	Grace time.Duration `yaml:"grace"`
-	// StopNotice is how long calls are taken after readiness turned red.
+	// StopNotice is how long calls are still accepted after the readiness check started to
+	// fail; it must be below Grace.
 	StopNotice time.Duration `yaml:"stop_notice"`
-	// PeerTimeout is when a connection whose peer confirms nothing is given up.
+	// PeerTimeout is after how long without acknowledgment by the peer a connection is closed.
 	PeerTimeout time.Duration `yaml:"silence"`
-	// RetryRatio is the part of a retry that each call earns.
+	// RetryRatio is the number of retries, from 0 to 1, that each call adds to the retry budget.
 	RetryRatio float64 `yaml:"retry_ratio"`
-	// RetrySlack is how many retries all fronts together may make beyond that.
+	// RetrySlack is the number of retries that all fronts together may make in addition within
+	// one RetryWindow.
 	RetrySlack float64 `yaml:"retry_slack"`
-	// RetryWindow is the span over which retries are counted: a front has none of the
-	// slack before it has lived through one.
+	// RetryWindow is the time window of the retry budget. A front gets its share of RetrySlack
+	// only after it has run for one window.
 	RetryWindow time.Duration `yaml:"retry_window"`
-	// QuotaWindow is the span over which the customers' limits are counted.
+	// QuotaWindow is the time window over which the usage of customers is summed.
 	QuotaWindow time.Duration `yaml:"quota_window"`
-	// QuarantineAfter is how many backend servers must have ended under a request before it
-	// is held.
+	// QuarantineAfter is the number of backend servers that must have exited while they
+	// processed a request before it is quarantined; at least 2.
 	QuarantineAfter int `yaml:"quarantine_after"`
-	// QuarantineFor is for how long it is held after the last of them.
+	// QuarantineFor is the duration of the quarantine after the last exit.
 	QuarantineFor time.Duration `yaml:"quarantine_for"`
-	// MaxBodyBytes bounds a call's body as long as no routing is in force.
+	// MaxBodyBytes limits the body of a call while no routing is active.
 	MaxBodyBytes int64 `yaml:"max_body_bytes"`
-	// Cores is how many processors the process may use; 0 is all.
+	// Cores limits the processors that the process uses; 0 means all.
 	Cores int `yaml:"cores"`
-	// MemoryMB is the memory that the process may use; 0 is no bound.
+	// MemoryMB limits the memory of the process in MB; 0 means no limit.
 	MemoryMB int64 `yaml:"memory_mb"`
-	// Log says how log lines are written.
+	// Log configures the log output.
 	Log Log `yaml:"log"`
-	// LogLinesPerSecond bounds the log lines of a second; what is more is counted.
+	// LogLinesPerSecond limits the log lines; those beyond it are dropped and counted.
 	LogLinesPerSecond int `yaml:"log_lines"`
-	// Traces says where spans go.
+	// Traces configures the export of spans.
 	Traces Traces `yaml:"traces"`
 }
 
-// LoadFront reads and checks a front's settings.
+// LoadFront reads and validates a front's settings; invalid ones are a *yamlfile.Mistakes error.
 func LoadFront(file string) (*Front, error) {
 	s := &Front{
 		Grace: DefaultGrace, StopNotice: DefaultStopNotice, PeerTimeout: DefaultPeerTimeout, RetryRatio: DefaultRetryRatio, RetrySlack: DefaultRetrySlack,
@@ -123,7 +128,7 @@
 	}
 	m.positive("quarantine_for", s.QuarantineFor)
 	if s.QuarantineAfter < 2 {
-		m.add("quarantine_after", "%d is below 2: one end says nothing of a request", s.QuarantineAfter)
+		m.add("quarantine_after", "%d is below 2: a single exit can't be attributed to one request", s.QuarantineAfter)
 	}
 	if s.MaxBodyBytes <= 0 {
 		m.add("max_body_bytes", "%d is not above zero", s.MaxBodyBytes)
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -12,7 +12,7 @@
 	"github.com/runworks/runworks/modules/yamlfile"
 )
 
-// Defaults of the settings.
+// Default settings of entries and agents; their fields describe them.
 const (
 	DefaultBalancerDelay     = 5 * time.Second
 	DefaultStopLimit         = 15 * time.Minute
@@ -26,80 +26,82 @@
 
 const minFleetKeyBytes = 16
 
-// Common are the settings that entries and agents share.
+// Common holds the settings that entries and agents have in common.
 type Common struct {
-	// Name is the host's name, as the host list has it.
+	// Name is the host's name in the host list.
 	Name string `yaml:"name"`
-	// Hall is where the host stands.
+	// Hall is the hall in which the host is located.
 	Hall string `yaml:"hall"`
-	// Listen is host:port: towards callers at an entry, towards entries at an agent.
+	// Listen is the host:port for calls at an entry, and for connections of entries at an agent.
 	Listen string `yaml:"listen"`
-	// Operators is host:port towards operators.
+	// Operators is the host:port for operators.
 	Operators string `yaml:"operators"`
 	// LogService is the base URL of the platform's log service.
 	LogService string `yaml:"log_service"`
-	// FleetKeys are shown and accepted between processes; the first is shown.
+	// FleetKeys authenticate the processes to each other; the first is sent, all are accepted.
 	FleetKeys []string `yaml:"fleet_keys"`
-	// ConfigPoll is the time between reads of the log.
+	// ConfigPoll is the interval at which the platform's log is read.
 	ConfigPoll time.Duration `yaml:"config_poll"`
-	// RepublishInterval is how long after it last stood on the log the configuration
-	// is put there again; well inside the log's retention time.
+	// RepublishInterval is the age at which the configuration is appended to the log again. It
+	// must be well below the log's retention time.
 	RepublishInterval time.Duration `yaml:"restate_every"`
-	// StopLimit bounds a planned stop; what runs then is cut.
+	// StopLimit limits the duration of a planned shutdown; calls still running then are aborted.
 	StopLimit time.Duration `yaml:"stop_limit"`
-	// Log says how log lines are written.
+	// Log configures the log output.
 	Log Log `yaml:"log"`
-	// Traces says where spans go.
+	// Traces configures the export of spans.
 	Traces Traces `yaml:"traces"`
 }
 
-// Log are the settings of log lines.
+// Log holds the settings of the log output.
 type Log struct {
-	// Level is trace, debug, info, warn or error; info if empty.
+	// Level is trace, debug, info, warn or error; empty means info.
 	Level string `yaml:"level"`
-	// JSON writes one JSON object a line.
+	// JSON selects one JSON object per line.
 	JSON bool `yaml:"json"`
 }
 
-// Traces are the settings of traces.
+// Traces holds the settings of tracing.
 type Traces struct {
-	// Endpoint is the OTLP/HTTP URL; empty sends no spans.
+	// Endpoint is the OTLP/HTTP URL; if it is empty, no spans are exported.
 	Endpoint string `yaml:"endpoint"`
-	// Sampled is the share of new traces that is kept, from 0 to 1.
+	// Sampled is the fraction of new traces that is sampled, from 0 to 1.
 	Sampled float64 `yaml:"sampled"`
 }
 
-// Entry are the settings of an entry.
+// Entry holds the settings of an entry.
 type Entry struct {
 	Common `yaml:",inline"`
 	// HostList is the base URL of the platform's host list.
 	HostList string `yaml:"host_list"`
-	// HostsPoll is the time between reads of the host list.
+	// HostsPoll is the interval at which the host list is read.
 	HostsPoll time.Duration `yaml:"hosts_poll"`
-	// ListSettle bounds how late an entry learns of a change of the host list: its
-	// lag and HostsPoll. An entry is not ready until then, and its share of the
-	// customers' limits grows only after it.
+	// ListSettle is the maximum delay until an entry sees a change of the host list: the lag of
+	// the list plus HostsPoll. An entry becomes ready, and its share of the customers' limits
+	// grows, only after that time.
 	ListSettle time.Duration `yaml:"list_settle"`
-	// BalancerDelay is how long calls are still taken after readiness turned red.
+	// BalancerDelay is how long calls are still accepted after the readiness check started to
+	// fail.
 	BalancerDelay time.Duration `yaml:"balancer_delay"`
-	// MaxBodyBytes bounds a call's body.
+	// MaxBodyBytes limits the body of a call.
 	MaxBodyBytes int64 `yaml:"max_body_bytes"`
 }
 
-// Agent are the settings of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
 	Common `yaml:",inline"`
 	// Server is the backend server's name in the configuration.
 	Server string `yaml:"server"`
-	// MaxWaiting bounds the waiting tickets; 0 is the default.
+	// MaxWaiting limits the waiting reservations; 0 means the default of services/agent.
 	MaxWaiting int `yaml:"max_waiting"`
-	// MaxAnswerBytes bounds what is kept of one answer; 0 is the default.
+	// MaxAnswerBytes limits the buffered bytes of one response; 0 means the default of
+	// services/agent.
 	MaxAnswerBytes int `yaml:"max_answer_bytes"`
-	// KeySkew bounds how far the clocks of callers and hosts are apart.
+	// KeySkew is the assumed maximum clock skew between callers and hosts.
 	KeySkew time.Duration `yaml:"key_skew"`
 }
 
-// LoadEntry reads and checks an entry's settings.
+// LoadEntry reads and validates an entry's settings; invalid ones are a *yamlfile.Mistakes error.
 func LoadEntry(file string) (*Entry, error) {
 	s := &Entry{
 		Common: defaults(), HostsPoll: DefaultHostsPoll, ListSettle: DefaultListSettle, BalancerDelay: DefaultBalancerDelay, MaxBodyBytes: DefaultMaxBodyBytes,
@@ -107,7 +109,7 @@
 	return s, load(file, s, s.check)
 }
 
-// LoadAgent reads and checks an agent's settings.
+// LoadAgent reads and validates an agent's settings; invalid ones are a *yamlfile.Mistakes error.
 func LoadAgent(file string) (*Agent, error) {
 	s := &Agent{Common: defaults(), KeySkew: DefaultKeySkew}
 	return s, load(file, s, s.check)
@@ -128,7 +130,7 @@
 	return yamlfile.Decode(file, data, out, check)
 }
 
-// mistakes gathers what is wrong with the settings.
+// mistakes collects the invalid settings.
 type mistakes struct {
 	list []yamlfile.Mistake
 }
--- a/modules/setting/setting_test.go
+++ b/modules/setting/setting_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestSettingScripts loads the files of testdata/settings: every mistake is
-// named with file, line and field.
+// TestSettingScripts checks that each invalid setting in testdata/settings is reported with its
+// file, line and field.
 func TestSettingScripts(t *testing.T) {
 	dir := t.TempDir()
 	datadriven.RunTest(t, "testdata/settings", func(t *testing.T, d *datadriven.TestData) string {
--- a/modules/stream/buffer.go
+++ b/modules/stream/buffer.go
@@ -9,13 +9,15 @@
 	"github.com/runworks/runworks/modules/notify"
 )
 
-// ErrDropped says that the bytes at an offset are no longer kept.
-var ErrDropped = errorx.IllegalState.New("the bytes at this offset are no longer kept")
+// ErrDropped is returned by Buffer.Next if the bytes at the offset were already dropped.
+var ErrDropped = errorx.IllegalState.New("the bytes at this offset are no longer buffered")
 
-// Buffer is written by one and read by any number; set Limit before use.
+// Buffer is a byte stream with one writer and any number of readers. Limit must be set before
+// use.
 type Buffer struct {
-	// Limit bounds the bytes kept; a writer waits for the furthest reader
-	// before it drops the oldest.
+	// Limit is the maximum number of buffered bytes. Beyond it, the oldest bytes that the
+	// fastest reader has read are dropped; a writer waits while unread bytes would exceed it. A
+	// single write that is larger than Limit is accepted once all bytes before it were read.
 	Limit int
 
 	mu         sync.Mutex
@@ -27,7 +29,7 @@
 	changed    notify.Change
 }
 
-// Write appends, and waits while Limit bytes are unread; ctx ends the wait.
+// Write appends p. It waits while the unread bytes would exceed Limit, until ctx is done.
 func (b *Buffer) Write(ctx context.Context, p []byte) error {
 	for {
 		wait, err := b.tryWrite(p)
@@ -42,7 +44,7 @@
 	}
 }
 
-// tryWrite appends if there is room; else it gives a channel to wait on.
+// tryWrite appends p if the limit permits it; otherwise it returns a channel to wait on.
 func (b *Buffer) tryWrite(p []byte) (<-chan struct{}, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +62,7 @@
 	return nil, nil
 }
 
-// dropLocked lets go of read bytes beyond the limit.
+// dropLocked drops the oldest read bytes beyond the limit.
 func (b *Buffer) dropLocked() {
 	over := len(b.data) - b.Limit
 	if over <= 0 {
@@ -72,7 +74,7 @@
 	b.base += int64(n)
 }
 
-// Close ends the stream; err is nil if it is whole.
+// Close ends the stream; err is nil if the stream is complete.
 func (b *Buffer) Close(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,8 +86,9 @@
 	b.changed.Signal()
 }
 
-// Next waits for bytes at the offset from; end is set once all are read, and
-// err then tells how the stream ended.
+// Next waits for bytes at the offset from, until ctx is done, and returns a copy of them. At the
+// end of the stream, end is set and err is the error that was passed to Close. If the bytes were
+// already dropped, the error is ErrDropped.
 func (b *Buffer) Next(ctx context.Context, from int64) (p []byte, end bool, err error) {
 	for {
 		p, end, wait, err := b.tryNext(from)
@@ -120,7 +123,7 @@
 	return nil, false, b.changed.Wait(), nil
 }
 
-// Size gives the bytes kept now.
+// Size returns the number of buffered bytes.
 func (b *Buffer) Size() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/modules/stream/doc.go
+++ b/modules/stream/doc.go
@@ -1,3 +1,3 @@
-// Package stream keeps the bytes of a running answer in bounded memory, so that
-// a reader that was cut off goes on at its offset.
+// Package stream buffers the bytes of a response in bounded memory, so that a reader that was
+// disconnected can resume at its offset.
 package stream
--- a/modules/suspend/doc.go
+++ b/modules/suspend/doc.go
@@ -1,3 +1,3 @@
-// Package suspend tells how long a host was suspended: time that the clock does not count by
-// which a process measures ages and deadlines.
+// Package suspend detects for how long a host was suspended. The monotonic clock, by which a
+// process measures ages and deadlines, does not count that time.
 package suspend
--- a/modules/suspend/suspend.go
+++ b/modules/suspend/suspend.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// DefaultInterval is how often the clocks are compared: a part of what callers wait for.
+	// DefaultInterval is the interval between comparisons of the clocks, well below the time
+	// that callers wait.
 	DefaultInterval = 250 * time.Millisecond
-	// minSuspension is the least time that counts as a suspension: some times what passes
-	// between the readings of the two clocks on a busy host.
+	// minSuspension is the shortest difference that counts as a suspension. It is several times
+	// the delay between the readings of the two clocks on a busy host.
 	minSuspension = 100 * time.Millisecond
 )
 
-// Clock gives the time since some point, in a clock of the system's.
+// Clock returns the time since a fixed point, according to one of the system's clocks.
 type Clock func() (time.Duration, error)
 
-// BootTime gives the time since the host's start.
+// BootTime returns the time since the host was booted, including suspensions.
 func BootTime() (time.Duration, error) { return read(unix.CLOCK_BOOTTIME) }
 
-// Monotonic gives the part of that time in which the host was not suspended, by which a process's
-// own ages and timers go.
+// Monotonic returns the time since the host was booted without suspensions; the timers of a
+// process use this clock.
 func Monotonic() (time.Duration, error) { return read(unix.CLOCK_MONOTONIC) }
 
 func read(clock int32) (time.Duration, error) {
@@ -35,18 +36,18 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Monitor compares the clocks; set the exported fields before Run.
+// Monitor compares the clocks. The exported fields must be set before Run.
 type Monitor struct {
-	// Interval is DefaultEvery if zero.
+	// Interval is the time between comparisons; zero means DefaultInterval.
 	Interval time.Duration
-	// BootTime and Monotonic are the functions above if nil.
+	// BootTime and Monotonic read the clocks; nil means the functions of the same names.
 	BootTime, Monotonic Clock
-	// OnResume is told after a suspension how long it was.
+	// OnResume is called after a suspension with its duration.
 	OnResume func(lost time.Duration)
 }
 
-// Run compares the clocks until ctx ends; the error says that one can't be read, and is nil
-// at the end of ctx.
+// Run compares the clocks until ctx is done, and then returns nil. It returns an error if a
+// clock can't be read.
 func (w *Monitor) Run(ctx context.Context) error {
 	interval := w.Interval
 	if interval == 0 {
@@ -72,7 +73,7 @@
 	}
 }
 
-// suspended is how long the host has been suspended since its start.
+// suspended returns for how long the host has been suspended since it was booted.
 func (w *Monitor) suspended() (time.Duration, error) {
 	boot, steady := w.BootTime, w.Monotonic
 	if boot == nil {
--- a/modules/suspend/suspend_test.go
+++ b/modules/suspend/suspend_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// TestMonitor tells of a suspension once, with its length, and of none that is shorter than
-// what a busy host loses between two readings.
+// TestMonitor checks that a suspension is reported once, with its duration, and that one below
+// minSuspension is not reported.
 func TestMonitor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,7 +38,7 @@
 	})
 }
 
-// TestUnreadableClock gives the error of a clock that the system does not have.
+// TestUnreadableClock checks that Run returns the error of a clock that can't be read.
 func TestUnreadableClock(t *testing.T) {
 	is := is.New(t)
 	errNone := errors.New("no such clock")
@@ -46,7 +46,8 @@
 	is.Equal(w.Run(t.Context()), errNone)
 }
 
-// TestClocks reads the system's clocks.
+// TestClocks checks that the clocks of the system can be read, and that the boot time is not
+// behind.
 func TestClocks(t *testing.T) {
 	is := is.New(t)
 	steady, err := Monotonic()
--- a/modules/tcp/idle.go
+++ b/modules/tcp/idle.go
@@ -7,12 +7,11 @@
 	"time"
 )
 
-// IdleListener gives connections whose rest between two requests is bounded by a
-// limit that may change while they are open. The http.Server over it needs an
-// IdleTimeout above zero and NoteState as its ConnState.
+// IdleListener accepts connections with an idle timeout that may change while they are open.
+// The http.Server that uses it needs an IdleTimeout above zero and TrackIdle as its ConnState.
 type IdleListener struct {
 	net.Listener
-	// IdleTimeout gives the bound in force.
+	// IdleTimeout returns the active timeout.
 	IdleTimeout func() time.Duration
 }
 
@@ -25,22 +24,22 @@
 	return &idleConn{Conn: conn, timeout: l.IdleTimeout}, nil
 }
 
-// TrackIdle follows whether a connection rests.
+// TrackIdle records whether a connection is idle; it is an http.Server's ConnState.
 func TrackIdle(c net.Conn, state http.ConnState) {
 	if conn, ok := c.(*idleConn); ok {
 		conn.idle.Store(state == http.StateIdle)
 	}
 }
 
-// idleConn puts the limit in force in the place of the server's own.
+// idleConn replaces the idle timeout of the server by the active one.
 type idleConn struct {
 	net.Conn
 	timeout func() time.Duration
 	idle    atomic.Bool
 }
 
-// SetReadDeadline implements net.Conn: a server that lets the connection rest sets
-// its idle limit here.
+// SetReadDeadline implements net.Conn. An http.Server calls it with its own idle timeout after
+// the connection has become idle.
 func (c *idleConn) SetReadDeadline(t time.Time) error {
 	if c.idle.Load() && !t.IsZero() {
 		t = time.Now().Add(c.timeout())
@@ -48,8 +47,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite ends the sending side, where the connection can: a server does so
-// before it closes, so that its last answer is not lost with what it did not read.
+// CloseWrite shuts down the writing side if the connection supports it. An http.Server does so
+// before it closes a connection with unread data, as the reset would otherwise discard the last
+// response.
 func (c *idleConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/modules/tcp/state.go
+++ b/modules/tcp/state.go
@@ -6,21 +6,21 @@
 	"syscall"
 )
 
-// State is what a connection shows without being read.
+// State is the state of a connection as seen without reading from it.
 type State int
 
-// The states of a connection.
+// The states of a connection, as PeekState returns them.
 const (
 	// Idle means that it is open and has nothing to read.
 	Idle State = iota
 	// Readable means that it has bytes to read.
 	Readable
-	// Closed means that its peer closed or reset it.
+	// Closed means that the peer closed or reset it, or that it was closed locally.
 	Closed
 )
 
-// PeekState says what a connection shows now, straight from the operating system and beside a
-// read that waits. A connection that is no socket is quiet.
+// PeekState returns the current state of a connection from the operating system, without
+// waiting for a blocked read. A connection that is not a socket is reported as Idle.
 func PeekState(c net.Conn) State {
 	if idle, ok := c.(*idleConn); ok {
 		c = idle.Conn
@@ -34,7 +34,7 @@
 		return Closed
 	}
 	state := Closed
-	// Control, unlike Read, does not wait for the read that is under way.
+	// Control, unlike Read, does not wait for a read in progress.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -51,17 +51,18 @@
 	return state
 }
 
-// connKey finds the connection of a request's context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// WithConn keeps a server's connection in the context of its requests; it is an
-// http.Server's ConnContext.
+// WithConn stores a connection in the context of its requests; it is an http.Server's
+// ConnContext.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// PeerClosed says whether the peer closed the connection that a request came on. A server
-// learns that by a read of its own, which a short processor share can hold up by seconds.
+// PeerClosed reports whether the peer closed the connection of a request; ctx must come from
+// WithConn. The server's own background read can notice that seconds late if the process gets
+// little CPU time.
 func PeerClosed(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(net.Conn)
 	return ok && PeekState(c) == Closed
--- a/modules/tcp/state_test.go
+++ b/modules/tcp/state_test.go
@@ -13,7 +13,7 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// waitState waits until a connection shows a state.
+// waitState waits until a connection has a state.
 func waitState(t *testing.T, c net.Conn, want State) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
@@ -21,11 +21,11 @@
 			return
 		}
 	}
-	t.Fatalf("the connection shows %d, not %d", PeekState(c), want)
+	t.Fatalf("the connection has state %d, not %d", PeekState(c), want)
 }
 
-// TestPeekState tells what a connection shows while a read of it waits, and without taking
-// anything from it.
+// TestPeekState checks the state of a connection, also during a blocked read, and that nothing
+// is consumed.
 func TestPeekState(t *testing.T) {
 	is := is.New(t)
 	l, err := Options{PeerTimeout: time.Second}.Listen(context.Background(), "127.0.0.1:0")
@@ -59,7 +59,7 @@
 	is.Equal(PeekState(memnetConn(t)), Idle)
 }
 
-// memnetConn gives a connection that is no socket, as a listener with an idle limit does.
+// memnetConn returns a connection of an IdleListener that is not a socket.
 func memnetConn(t *testing.T) net.Conn {
 	t.Helper()
 	network := memnet.New(time.Millisecond)
@@ -75,7 +75,7 @@
 	return c
 }
 
-// TestPeerClosed tells a server's handler that the caller closed its connection.
+// TestPeerClosed checks that a handler can detect that the client closed the connection.
 func TestPeerClosed(t *testing.T) {
 	is := is.New(t)
 	is.True(!PeerClosed(context.Background()))
--- a/modules/tcp/tcp.go
+++ b/modules/tcp/tcp.go
@@ -1,5 +1,4 @@
-// Package tcp opens connections that notice within a bounded time that their
-// peer is gone.
+// Package tcp opens connections that detect an unreachable peer within a bounded time.
 package tcp
 
 import (
@@ -12,11 +11,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAliveProbes is how many unanswered keepAliveProbes end an idle connection.
+// keepAliveProbes is the number of unanswered keep-alive probes that close an idle connection.
 const keepAliveProbes = 3
 
-// Options say when a connection whose peer confirms nothing is given up.
+// Options configure the connections of Dial and Listen.
 type Options struct {
+	// PeerTimeout is the time after which a connection is closed whose peer acknowledges
+	// nothing. Idle connections are probed at intervals of a third of it, but of at least 1 s.
 	PeerTimeout time.Duration
 }
 
@@ -26,7 +27,7 @@
 	return d.DialContext(ctx, network, address)
 }
 
-// Listen opens a listener.
+// Listen opens a TCP listener at address (host:port).
 func (o Options) Listen(ctx context.Context, address string) (net.Listener, error) {
 	l := net.ListenConfig{KeepAliveConfig: o.keepAlive(), Control: o.control}
 	return l.Listen(ctx, "tcp", address)
@@ -37,15 +38,15 @@
 	return net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes}
 }
 
-// control bounds how long sent bytes may stay unconfirmed; accepted connections
-// take it over from their listener.
+// control limits how long sent data may stay unacknowledged. Accepted connections inherit the
+// option from their listener.
 func (o Options) control(_, _ string, raw syscall.RawConn) error {
 	var set error
 	err := raw.Control(func(fd uintptr) {
 		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.PeerTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return errorx.Decorate(err, "reach the socket")
+		return errorx.Decorate(err, "access the socket")
 	}
 	return set
 }
--- a/modules/tcp/tcp_test.go
+++ b/modules/tcp/tcp_test.go
@@ -17,7 +17,8 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// TestDial opens a connection with its options set.
+// TestDial checks that a connection can be opened with the options set, and that a refused one
+// is an error.
 func TestDial(t *testing.T) {
 	is := is.New(t)
 	o := Options{PeerTimeout: 3 * time.Second}
@@ -31,8 +32,8 @@
 	is.True(err != nil)
 }
 
-// TestIdleTimeoutChanges lets connections rest as long as the limit in force allows,
-// also those that were opened under another.
+// TestIdleTimeoutChanges checks that a changed idle timeout also applies to connections that
+// are already open.
 func TestIdleTimeoutChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -53,11 +54,11 @@
 		br := bufio.NewReader(conn)
 		get(t, conn, br)
 		time.Sleep(9 * time.Second)
-		get(t, conn, br) // inside the limit
+		get(t, conn, br) // within the timeout
 		timeout.Store(int64(20 * time.Second))
 		get(t, conn, br)
 		time.Sleep(19 * time.Second)
-		get(t, conn, br) // inside the new one
+		get(t, conn, br) // within the new timeout
 		began := time.Now()
 		_, err = br.ReadByte()
 		is.True(errors.Is(err, io.EOF))
--- a/modules/tracing/doc.go
+++ b/modules/tracing/doc.go
@@ -1,3 +1,3 @@
-// Package tracing sets up OpenTelemetry traces and carries their context
-// between the processes in the W3C form.
+// Package tracing sets up OpenTelemetry tracing and propagates the trace context between the
+// processes in the W3C Trace Context format.
 package tracing
--- a/modules/tracing/tracing.go
+++ b/modules/tracing/tracing.go
@@ -15,7 +15,7 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// The names of the spans, one for each hop.
+// Names of the spans, one for each hop.
 const (
 	SpanEntry   = "entry"
 	SpanWait    = "entry.wait"
@@ -36,16 +36,17 @@
 	return propagator.Extract(ctx, header)
 }
 
-// Noop is a tracer that records nothing.
+// Noop returns a tracer that records nothing.
 func Noop() trace.Tracer { return noop.NewTracerProvider().Tracer("runworks") }
 
-// Provider sends spans to an OTLP endpoint, a URL; Shutdown flushes them.
+// Provider exports spans to an OTLP endpoint.
 type Provider struct {
 	provider *sdk.TracerProvider
 }
 
-// NewProvider builds a provider for the OTLP/HTTP endpoint; sampled is the
-// share of new traces that is kept, from 0 to 1.
+// NewProvider returns a provider that exports to endpoint, an OTLP/HTTP URL. Sampled is the
+// fraction of new traces that is sampled, from 0 to 1; a trace that a caller started keeps the
+// caller's decision.
 func NewProvider(ctx context.Context, endpoint, process string, sampled float64) (*Provider, error) {
 	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(endpoint))
 	if err != nil {
@@ -56,13 +57,13 @@
 	return &Provider{provider: sdk.NewTracerProvider(sdk.WithBatcher(exporter), sdk.WithSampler(sampler), sdk.WithResource(named))}, nil
 }
 
-// Tracer gives the tracer of the processes.
+// Tracer returns the tracer for the spans of a process.
 func (p *Provider) Tracer() trace.Tracer { return p.provider.Tracer("runworks") }
 
-// Shutdown sends what is left.
+// Shutdown exports the remaining spans.
 func (p *Provider) Shutdown(ctx context.Context) error { return p.provider.Shutdown(ctx) }
 
-// End ends a span and marks an error on it.
+// End ends a span; if err is not nil, it sets the span's status to it.
 func End(span trace.Span, err error) {
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
--- a/modules/yamlfile/doc.go
+++ b/modules/yamlfile/doc.go
@@ -1,3 +1,2 @@
-// Package yamlfile reads YAML files strictly, and names what is wrong with them
-// by file, line and field.
+// Package yamlfile decodes YAML files strictly and reports errors with file, line and field.
 package yamlfile
--- a/modules/yamlfile/fields.go
+++ b/modules/yamlfile/fields.go
@@ -8,8 +8,7 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// fieldMistakes finds the fields of a document that its type does not have, and
-// those that stand twice.
+// fieldMistakes returns the unknown and the duplicate fields of a node that is decoded into t.
 func fieldMistakes(node ast.Node, t reflect.Type, path string) []Mistake {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
@@ -54,7 +53,7 @@
 			list = append(list, Mistake{Line: line, Field: at, Problem: "unknown field"})
 			continue
 		case seen[name]:
-			list = append(list, Mistake{Line: line, Field: at, Problem: "stands twice"})
+			list = append(list, Mistake{Line: line, Field: at, Problem: "duplicate field"})
 		}
 		seen[name] = true
 		list = append(list, fieldMistakes(iter.Value(), field, at)...)
@@ -62,7 +61,7 @@
 	return list
 }
 
-// fieldsOf gives the types of a struct's fields by their YAML names.
+// fieldsOf returns the types of a struct's fields by their YAML names.
 func fieldsOf(t reflect.Type) map[string]reflect.Type {
 	out := map[string]reflect.Type{}
 	for i := range t.NumField() {
--- a/modules/yamlfile/yamlfile.go
+++ b/modules/yamlfile/yamlfile.go
@@ -14,26 +14,26 @@
 	"github.com/joomcode/errorx"
 )
 
-// ErrInvalid says that a file has mistakes.
-var ErrInvalid = errorx.IllegalFormat.New("the file has mistakes")
+// ErrInvalid matches every Mistakes error with errors.Is.
+var ErrInvalid = errorx.IllegalFormat.New("invalid file")
 
-// Mistake is one thing wrong with a file.
+// Mistake is one error in a file.
 type Mistake struct {
-	// Line is the line in the file, from 1; 0 where it is not known.
+	// Line is the line in the file, from 1; 0 if it is unknown.
 	Line int
 	// Field is the path of the field, such as $.tiers[0].rank.
 	Field string
-	// Problem says what is wrong.
+	// Problem describes the error.
 	Problem string
 }
 
-// Mistakes are all that is wrong with one file.
+// Mistakes is an error that lists all errors in one file.
 type Mistakes struct {
 	File string
 	List []Mistake
 }
 
-// Error lists all mistakes, a line each.
+// Error implements error; it returns one line per mistake.
 func (m *Mistakes) Error() string {
 	lines := make([]string, 0, len(m.List))
 	for _, one := range m.List {
@@ -42,12 +42,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Is makes Mistakes an ErrInvalid.
+// Is reports whether target is ErrInvalid.
 func (m *Mistakes) Is(target error) bool { return target == ErrInvalid }
 
-// Decode reads YAML strictly into out, and then checks it with check, which may
-// be nil. The error is Mistakes: unknown fields, doubled fields and what check
-// found, all at once; a value of the wrong type ends the reading.
+// Decode decodes data strictly into out, and then calls check, if it is not nil, to validate out.
+// File is the name to report. The error is a *Mistakes with all unknown and duplicate fields and
+// what check returned; after a syntax error or a value of the wrong type, check is not called.
 func Decode(file string, data []byte, out any, check func() []Mistake) error {
 	root, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
@@ -81,7 +81,7 @@
 	return list
 }
 
-// syntaxMistake turns an error of the YAML library into a mistake with its line.
+// syntaxMistake converts an error of the YAML library to a mistake with its line.
 func syntaxMistake(err error) Mistake {
 	one := Mistake{Field: "$", Problem: err.Error()}
 	var yamlErr yaml.Error
@@ -94,8 +94,8 @@
 	return one
 }
 
-// lineOf finds the line of a field by its path, or of the nearest part of the
-// path that stands in the file.
+// lineOf returns the line of the field with a path, or of its closest ancestor that is in the
+// file; 1 if there is none.
 func lineOf(root *ast.File, field string) int {
 	for field != "" && field != "$" {
 		if line, err := lineAt(root, field); err == nil {
