--- a/cmd/runworks/dev.go
+++ b/cmd/runworks/dev.go
@@ -15,7 +15,7 @@
 	listen := cmd.Flag("listen", "Where to take calls, host:port.").Default("127.0.0.1:8080").String()
 	level := cmd.Flag("log-level", "trace, debug, info, warn or error.").Default("warn").String()
 	cmd.Action(func(*kingpin.ParseContext) error {
-		ctx, stop, done := signals()
+		ctx, stop, done := stopSignals()
 		defer done()
 		all := &dev.Dev{Listen: *listen, Out: os.Stdout, Logger: logging.New(os.Stderr, "dev", *level, false)}
 		return all.Run(ctx, stop)
--- a/cmd/runworks/front.go
+++ b/cmd/runworks/front.go
@@ -26,20 +26,20 @@
 			defer out.Close()
 			process := &daemon.Front{
 				Settings: settings, Logger: logging.New(out, "front", settings.Log.Level, settings.Log.JSON),
-				DroppedLines: out.Dropped, Reload: reloads(), LoadSettings: func() (*setting.Front, error) { return setting.LoadFront(file) },
+				DroppedLines: out.Dropped, Reload: reloadSignals(), LoadSettings: func() (*setting.Front, error) { return setting.LoadFront(file) },
 			}
 			return process.Run(ctx, stop)
 		}, nil
 	})
 }
 
-// reloads tells of each SIGHUP.
-func reloads() <-chan struct{} {
-	got := make(chan os.Signal, 1)
-	signal.Notify(got, syscall.SIGHUP)
+// reloadSignals tells of each SIGHUP.
+func reloadSignals() <-chan struct{} {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	out := make(chan struct{})
 	go func() {
-		for range got {
+		for range signals {
 			out <- struct{}{}
 		}
 	}()
--- a/cmd/runworks/main.go
+++ b/cmd/runworks/main.go
@@ -27,28 +27,28 @@
 	}
 }
 
-// signals gives a context that the second signal ends, and a channel that the
+// stopSignals gives a context that the second signal ends, and a channel that the
 // first one closes.
-func signals() (ctx context.Context, stop <-chan struct{}, done func()) {
+func stopSignals() (ctx context.Context, stop <-chan struct{}, done func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	got := make(chan os.Signal, 2)
-	signal.Notify(got, syscall.SIGTERM, syscall.SIGINT)
+	received := make(chan os.Signal, 2)
+	signal.Notify(received, syscall.SIGTERM, syscall.SIGINT)
 	first := make(chan struct{})
 	go func() {
 		select {
-		case <-got:
+		case <-received:
 		case <-ctx.Done():
 			return
 		}
 		close(first)
 		select {
-		case <-got:
+		case <-received:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	return ctx, first, func() {
-		signal.Stop(got)
+		signal.Stop(received)
 		cancel()
 	}
 }
--- a/cmd/runworks/process.go
+++ b/cmd/runworks/process.go
@@ -25,7 +25,7 @@
 			fmt.Println("the settings are good")
 			return nil
 		}
-		ctx, stop, done := signals()
+		ctx, stop, done := stopSignals()
 		defer done()
 		return run(ctx, stop)
 	})
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -31,13 +31,13 @@
 	}
 }
 
-// listening is what the process listens on.
-var listening net.Listener
+// activeListener is what the process listens on.
+var activeListener net.Listener
 
-// end ends the process. It refuses connections first: the kernel closes what a process has
+// exit ends the process. It refuses connections first: the kernel closes what a process has
 // open in any order.
-func end() {
-	_ = listening.Close()
+func exit() {
+	_ = activeListener.Close()
 	os.Exit(1)
 }
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	listening = listener
+	activeListener = listener
 	fmt.Println("listening on", listener.Addr())
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
 	return server.Serve(listener)
@@ -96,17 +96,17 @@
 func addRouted(app *kingpin.Application, listen *string) {
 	cmd := app.Command("routed", "A backend server of the users' platform.")
 	b := &standin.Routed{}
-	tell := cmd.Flag("tell", "Print a line for each call before it runs, as the process may be killed.").Bool()
+	printCalls := cmd.Flag("tell", "Print a line for each call before it runs, as the process may be killed.").Bool()
 	cmd.Flag("instance", "The id of its life.").Required().StringVar(&b.Instance)
 	cmd.Flag("delay", "How long a call runs, and the time between events.").Default("0s").DurationVar(&b.Delay)
-	endOn := cmd.Flag("end-on", "End the process as it begins to run a call with this text in its body.").String()
+	exitOn := cmd.Flag("end-on", "End the process as it begins to run a call with this text in its body.").String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		b.OnCall = func(c standin.RoutedCall) {
-			if *tell {
+			if *printCalls {
 				fmt.Printf("ran %s %s %s %q %x\n", c.ID, c.Method, c.Target, c.Customer, sha256.Sum256(c.Body))
 			}
-			if *endOn != "" && bytes.Contains(c.Body, []byte(*endOn)) {
-				end()
+			if *exitOn != "" && bytes.Contains(c.Body, []byte(*exitOn)) {
+				exit()
 			}
 		}
 		return serve(*listen, b.Handler())
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -39,16 +39,16 @@
 func (d *Agent) Run(ctx context.Context, stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	flush, err := d.Deps.fill(ctx, &d.Settings.Common)
+	flush, err := d.Deps.setDefaults(ctx, &d.Settings.Common)
 	if err != nil {
 		return err
 	}
 	defer flush()
-	both, err := d.build()
+	servers, err := d.build()
 	if err != nil {
 		return err
 	}
-	if err := both.open(&d.Deps, &d.Settings.Common, "entries"); err != nil {
+	if err := servers.listen(&d.Deps, &d.Settings.Common, "entries"); err != nil {
 		return err
 	}
 	d.Agent.Start(ctx)
@@ -57,35 +57,35 @@
 	}
 	var work conc.WaitGroup
 	work.Go(func() { d.Config.Run(ctx) })
-	both.serve(&work)
+	servers.serve(&work)
 	select {
 	case <-ctx.Done():
 	case <-stop:
-		d.drain(ctx, both.peers)
+		d.drain(ctx, servers.clients)
 	}
 	d.Agent.Close()
-	both.close()
+	servers.close()
 	cancel()
 	work.Wait()
 	return nil
 }
 
 // build puts the parts together.
-func (d *Agent) build() (*servers, error) {
-	s, p := d.Settings, &d.Deps
-	set, err := newMetrics()
+func (d *Agent) build() (*httpServers, error) {
+	s, deps := d.Settings, &d.Deps
+	metricSet, err := newMetrics()
 	if err != nil {
 		return nil, err
 	}
 	if d.Connect == nil {
 		d.Connect = func(kind runworks.ServiceKind, address string) runworks.Backend {
-			return backend.New(kind, address, p.Dial)
+			return backend.New(kind, address, deps.Dial)
 		}
 	}
-	d.Config = follower(p, &s.Common)
+	d.Config = newFollower(deps, &s.Common)
 	d.Agent = &agent.Agent{
 		Name: s.Name, Server: s.Server, ProgramVersion: Version, Config: d.Config, Connect: d.Connect,
-		Logger: p.Logger, Metrics: set, Tracer: p.Tracer,
+		Logger: deps.Logger, Metrics: metricSet, Tracer: deps.Tracer,
 		MaxWaiting: s.MaxWaiting, MaxAnswerBytes: s.MaxAnswerBytes, KeySkew: s.KeySkew,
 	}
 	if d.BeforeStart != nil {
@@ -93,10 +93,10 @@
 	}
 	d.Config.OnChange = d.Agent.Configure
 	routes := &runs.Routes{Agent: d.Agent, Keys: s.FleetKeys}
-	forOperators := &operators.Routes{Ready: d.ready, Metrics: set, Status: func() any { return d.Agent.Status() }}
-	return &servers{
-		peers:     &http.Server{Handler: routes.Handler(), ReadHeaderTimeout: readHeaderTimeout},
-		operators: &http.Server{Handler: forOperators.Handler(), ReadHeaderTimeout: readHeaderTimeout},
+	operatorRoutes := &operators.Routes{Ready: d.ready, Metrics: metricSet, Status: func() any { return d.Agent.Status() }}
+	return &httpServers{
+		clients:   &http.Server{Handler: routes.Handler(), ReadHeaderTimeout: readHeaderTimeout},
+		operators: &http.Server{Handler: operatorRoutes.Handler(), ReadHeaderTimeout: readHeaderTimeout},
 	}, nil
 }
 
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -32,8 +32,8 @@
 	Entry  *entry.Entry
 	Config *config.Follower
 
-	red    atomic.Bool
-	shares *admission.Shares
+	draining atomic.Bool
+	shares   *admission.Shares
 }
 
 // Run runs until stop is closed and the planned stop is over; the end of ctx
@@ -41,16 +41,16 @@
 func (d *Entry) Run(ctx context.Context, stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	flush, err := d.Deps.fill(ctx, &d.Settings.Common)
+	flush, err := d.Deps.setDefaults(ctx, &d.Settings.Common)
 	if err != nil {
 		return err
 	}
 	defer flush()
-	both, err := d.build()
+	servers, err := d.build()
 	if err != nil {
 		return err
 	}
-	if err := both.open(&d.Deps, &d.Settings.Common, "callers"); err != nil {
+	if err := servers.listen(&d.Deps, &d.Settings.Common, "callers"); err != nil {
 		return err
 	}
 	if d.Started != nil {
@@ -59,32 +59,32 @@
 	var work conc.WaitGroup
 	work.Go(func() { d.Config.Run(ctx) })
 	work.Go(func() { d.Entry.Run(ctx) })
-	both.serve(&work)
+	servers.serve(&work)
 	select {
 	case <-ctx.Done():
 	case <-stop:
-		d.drain(ctx, both.peers)
+		d.drain(ctx, servers.clients)
 	}
-	both.close()
+	servers.close()
 	cancel()
 	work.Wait()
 	return nil
 }
 
 // build puts the parts together.
-func (d *Entry) build() (*servers, error) {
-	s, p := d.Settings, &d.Deps
-	if p.Hosts == nil {
-		p.Hosts = &platform.Hosts{Address: s.HostList}
+func (d *Entry) build() (*httpServers, error) {
+	s, deps := d.Settings, &d.Deps
+	if deps.Hosts == nil {
+		deps.Hosts = &platform.Hosts{Address: s.HostList}
 	}
-	set, err := newMetrics()
+	metricSet, err := newMetrics()
 	if err != nil {
 		return nil, err
 	}
-	d.Config = follower(p, &s.Common)
+	d.Config = newFollower(deps, &s.Common)
 	d.Entry = &entry.Entry{
-		Name: s.Name, Hall: s.Hall, ProgramVersion: Version, Config: d.Config, Hosts: p.Hosts, HostsPollInterval: s.HostsPoll,
-		Dial: p.Dial, Keys: s.FleetKeys, Logger: p.Logger, Metrics: set, Tracer: p.Tracer,
+		Name: s.Name, Hall: s.Hall, ProgramVersion: Version, Config: d.Config, Hosts: deps.Hosts, HostsPollInterval: s.HostsPoll,
+		Dial: deps.Dial, Keys: s.FleetKeys, Logger: deps.Logger, Metrics: metricSet, Tracer: deps.Tracer,
 	}
 	if d.BeforeStart != nil {
 		d.BeforeStart(d.Entry)
@@ -93,13 +93,13 @@
 	d.shares = &admission.Shares{Name: s.Name, MaxLag: s.ListSettle}
 	d.Entry.OnEntries = func(names []string) { d.shares.Observe(time.Now(), names) }
 	admit := &admission.Admission{Config: d.Config, Shares: d.shares}
-	routes := &callers.Routes{Entry: d.Entry, Admission: admit, Tracer: p.Tracer, MaxBodyBytes: s.MaxBodyBytes}
-	forOperators := &operators.Routes{Ready: d.ready, Metrics: set, Status: func() any { return d.Entry.Status() }}
-	return &servers{peers: callers.Server(routes.Handler()), operators: callers.Server(forOperators.Handler())}, nil
+	routes := &callers.Routes{Entry: d.Entry, Admission: admit, Tracer: deps.Tracer, MaxBodyBytes: s.MaxBodyBytes}
+	operatorRoutes := &operators.Routes{Ready: d.ready, Metrics: metricSet, Status: func() any { return d.Entry.Status() }}
+	return &httpServers{clients: callers.Server(routes.Handler()), operators: callers.Server(operatorRoutes.Handler())}, nil
 }
 
 func (d *Entry) ready() error {
-	if d.red.Load() {
+	if d.draining.Load() {
 		return runworks.ErrStopping
 	}
 	if !d.shares.Ready(time.Now()) {
@@ -111,7 +111,7 @@
 // drain turns readiness red, goes on until the balancer has noticed, and then
 // finishes what is there.
 func (d *Entry) drain(ctx context.Context, server *http.Server) {
-	d.red.Store(true)
+	d.draining.Store(true)
 	d.Deps.Logger.Info("planned stop: not ready from now on", "balancer_delay", d.Settings.BalancerDelay)
 	select {
 	case <-ctx.Done():
--- a/daemon/front.go
+++ b/daemon/front.go
@@ -31,9 +31,9 @@
 )
 
 const (
-	// memoryPart is the part of the memory limit that the Go heap may take: the
+	// heapFraction is the part of the memory limit that the Go heap may take: the
 	// rest is for stacks and for bytes that wait in sockets.
-	memoryPart = 0.6
+	heapFraction = 0.6
 	// headerTimeout bounds the reading of a request's head.
 	headerTimeout = 3 * time.Second
 	// idleTimeout bounds how long a caller's connection rests, as long as no routing
@@ -59,19 +59,19 @@
 	budgets    *forward.Budgets
 	exchange   *peers.Exchange
 	front      *platform.Front
-	// document is the record of the routing in force, and routingMu lets one newer follow.
-	document  atomic.Pointer[platform.Record]
-	routingMu sync.Mutex
-	// newestTold is the newest version of the routing that another front told of.
-	newestTold atomic.Int64
+	// routingRecord is the record of the routing in force, and routingMu lets one newer follow.
+	routingRecord atomic.Pointer[platform.Record]
+	routingMu     sync.Mutex
+	// newestReportedRouting is the newest version of the routing that another front told of.
+	newestReportedRouting atomic.Int64
 	// started is when Run began.
 	started time.Time
 	// serversMu guards what is known of the backend servers' records.
-	serversMu sync.Mutex
-	servers   platform.Servers
-	lapses    dispatch.ExpiryFilter
-	// unnamed are the lives of servers whose services no route names, as they were told of.
-	unnamed map[string]bool
+	serversMu    sync.Mutex
+	servers      platform.Servers
+	expiryFilter dispatch.ExpiryFilter
+	// unrouted are the lives of servers whose services no route names, as they were told of.
+	unrouted map[string]bool
 	// pool keeps the connections to backend servers.
 	pool *httpconn.Pool
 	// ctx ends with Run.
@@ -82,14 +82,14 @@
 	limits  *platform.LimitUsage
 	// suspects keeps the quarantine's record.
 	suspects *platform.Suspects
-	// asking holds the subjects that another front is being asked for.
-	asking map[peers.Subject]*atomic.Bool
-	work   group.Group
-	red    atomic.Bool
-	listed atomic.Bool
-	// opened is closed once the front has read its state.
-	opened   chan struct{}
-	openOnce sync.Once
+	// requesting holds the subjects that another front is being asked for.
+	requesting    map[peers.Subject]*atomic.Bool
+	work          group.Group
+	draining      atomic.Bool
+	serversListed atomic.Bool
+	// initialized is closed once the front has read its state.
+	initialized    chan struct{}
+	initializeOnce sync.Once
 }
 
 // Run runs until stop is closed and the planned stop is over; the end of ctx
@@ -98,22 +98,22 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d.ctx, d.started = ctx, time.Now()
-	d.limit()
+	d.applyResourceLimits()
 	listeners, err := d.listen(ctx)
 	if err != nil {
 		return err
 	}
-	flush, err := d.build(ctx, listeners[forFronts].Addr().String())
+	flush, err := d.build(ctx, listeners[frontsListener].Addr().String())
 	if err != nil {
 		closeAll(listeners)
 		return err
 	}
 	defer flush()
-	list := d.open(listeners)
-	listeners[forCallers] = &tcp.IdleListener{Listener: listeners[forCallers], IdleTimeout: d.idleLimit}
+	servers := d.buildServers(listeners)
+	listeners[callersListener] = &tcp.IdleListener{Listener: listeners[callersListener], IdleTimeout: d.idleLimit}
 	var work conc.WaitGroup
-	d.follow(ctx, &work)
-	for i, server := range list {
+	d.startSync(ctx, &work)
+	for i, server := range servers {
 		work.Go(func() { _ = server.Serve(listeners[i]) })
 	}
 	work.Go(func() { d.reload(ctx) })
@@ -121,9 +121,9 @@
 	select {
 	case <-ctx.Done():
 	case <-stop:
-		d.drain(ctx, list[forCallers])
+		d.drain(ctx, servers[callersListener])
 	}
-	for _, server := range list {
+	for _, server := range servers {
 		_ = server.Close()
 	}
 	cancel()
@@ -133,13 +133,13 @@
 	return nil
 }
 
-// limit keeps the process inside its share of the host.
-func (d *Front) limit() {
+// applyResourceLimits keeps the process inside its share of the host.
+func (d *Front) applyResourceLimits() {
 	if d.Settings.Cores > 0 {
 		runtime.GOMAXPROCS(d.Settings.Cores)
 	}
 	if d.Settings.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(d.Settings.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(d.Settings.MemoryMB<<20)))
 	}
 }
 
@@ -163,50 +163,50 @@
 	dial := tcp.Options{PeerTimeout: s.PeerTimeout}.Dial
 	self := peers.Member{Name: s.Name, Address: address, Hall: s.Hall, Incarnation: runworks.NewIncarnation()}
 	d.dispatcher = &dispatch.Dispatcher{
-		Self: self.Incarnation, Hall: s.Hall, OnEject: d.onSuspend, OnUnresponsive: d.onSilent, OnPeerEject: d.onDoubt, OnRateLimit: d.onLimit, RequestPermits: d.onWant,
-		OnDraining: d.onLeaving, OnBackoff: d.onRest,
+		Self: self.Incarnation, Hall: s.Hall, OnEject: d.onEject, OnUnresponsive: d.onUnresponsive, OnPeerEject: d.onPeerEject, OnRateLimit: d.onRateLimit, RequestPermits: d.requestPermits,
+		OnDraining: d.onDraining, OnBackoff: d.onBackoff,
 		SendServerNotice: func(notice runworks.ServerNotice) { d.exchange.SendServerNotice(notice) },
 	}
 	d.quota = &quota.Quota{Self: self.Incarnation, Window: s.QuotaWindow, Started: time.Now()}
 	d.budgets = &forward.Budgets{Ratio: s.RetryRatio, Slack: s.RetrySlack, Started: time.Now(), Window: s.RetryWindow}
-	d.quarantine = &quarantine.Quarantine{ExitThreshold: s.QuarantineAfter, Duration: s.QuarantineFor, OnUpdate: d.onSuspect, OnQuarantine: d.onHeld, OnRelease: d.onLifted}
-	d.opened = make(chan struct{})
+	d.quarantine = &quarantine.Quarantine{ExitThreshold: s.QuarantineAfter, Duration: s.QuarantineFor, OnUpdate: d.onSuspect, OnQuarantine: d.onQuarantine, OnRelease: d.onRelease}
+	d.initialized = make(chan struct{})
 	d.pool = &httpconn.Pool{Dial: dial, MatchResponse: platform.AnswersRequest}
 	d.forwarder = &forward.Forwarder{
-		Ready: d.opened, Dispatcher: d.dispatcher, Quota: d.quota, Budgets: d.budgets, Quarantine: d.quarantine, Logger: d.Logger, Metrics: d.metrics, Tracer: tracer,
+		Ready: d.initialized, Dispatcher: d.dispatcher, Quota: d.quota, Budgets: d.budgets, Quarantine: d.quarantine, Logger: d.Logger, Metrics: d.metrics, Tracer: tracer,
 		Sender: &platform.Sender{Pool: d.pool},
 	}
 	d.front = &platform.Front{Forwarder: d.forwarder, Logger: d.Logger, MaxBodyBytes: s.MaxBodyBytes}
-	d.store = &platform.Store{Address: s.Store, Client: &http.Client{Transport: &http.Transport{DialContext: dial, DisableCompression: true}}, OnRestored: d.onReturn}
+	d.store = &platform.Store{Address: s.Store, Client: &http.Client{Transport: &http.Transport{DialContext: dial, DisableCompression: true}}, OnRestored: d.onStoreRestored}
 	d.exchange = &peers.Exchange{
 		Self: self,
 		Dial: dial, Keys: rpc.FleetKeys(s.FleetKeys), Logger: d.Logger,
-		Heartbeat: d.beat, OnHeartbeat: d.onBeat, OnUnreachable: d.onGone, OnReplaced: d.onReplaced, State: d.state,
+		Heartbeat: d.heartbeat, OnHeartbeat: d.onHeartbeat, OnUnreachable: d.onUnreachable, OnReplaced: d.onReplaced, State: d.state,
 		LimitUpdates:  func() runworks.LimitUse { return d.quota.Updates(time.Now()) },
 		LimitSnapshot: func() runworks.LimitUse { return d.quota.FullUse(time.Now()) },
-		OnHandshake:   d.onGreeting, OnSettled: d.takeHeld,
+		OnHandshake:   d.onHandshake, OnSettled: d.admitHeldCalls,
 		Suspects:      func() []runworks.Suspect { return d.quarantine.List(time.Now()) },
 		OnSuspects:    func(_ string, list []runworks.Suspect) { d.quarantine.Apply(time.Now(), list) },
 		ServerNotices: d.dispatcher.ServerNotices, OnServerNotices: d.dispatcher.ApplyNotices, TransferPermits: d.dispatcher.TransferPermits,
 	}
-	d.suspects = &platform.Suspects{Store: d.store, Quarantine: d.quarantine, Front: s.Name, Logger: d.Logger, OnFirstReadDone: d.takeHeld}
-	d.watch()
+	d.suspects = &platform.Suspects{Store: d.store, Quarantine: d.quarantine, Front: s.Name, Logger: d.Logger, OnFirstReadDone: d.admitHeldCalls}
+	d.buildWatches()
 	return flushSpans, nil
 }
 
 // The listeners of a front.
 const (
-	forCallers = iota
-	forBalancer
-	forFronts
-	forOperators
+	callersListener = iota
+	balancerListener
+	frontsListener
+	operatorsListener
 )
 
 // listen opens all listeners.
 func (d *Front) listen(ctx context.Context) ([]net.Listener, error) {
 	s := d.Settings
-	names := []string{forCallers: "callers", forBalancer: "balancer", forFronts: "fronts", forOperators: "operators"}
-	addresses := []string{forCallers: s.Listen, forBalancer: s.Ready, forFronts: s.Peers, forOperators: s.Operators}
+	names := []string{callersListener: "callers", balancerListener: "balancer", frontsListener: "fronts", operatorsListener: "operators"}
+	addresses := []string{callersListener: s.Listen, balancerListener: s.Ready, frontsListener: s.Peers, operatorsListener: s.Operators}
 	var out []net.Listener
 	for i, address := range addresses {
 		l, err := tcp.Options{PeerTimeout: s.PeerTimeout}.Listen(ctx, address)
@@ -226,11 +226,11 @@
 	}
 }
 
-// open builds the servers of the listeners.
-func (d *Front) open(listeners []net.Listener) []*http.Server {
-	operatorRoutes := &operators.Routes{Ready: d.ready, Metrics: d.metrics, Status: func() any { return d.status() }, Release: d.lift}
+// buildServers builds the servers of the listeners.
+func (d *Front) buildServers(listeners []net.Listener) []*http.Server {
+	operatorRoutes := &operators.Routes{Ready: d.ready, Metrics: d.metrics, Status: func() any { return d.status() }, Release: d.release}
 	handlers := []http.Handler{
-		forCallers: d.front, forBalancer: platform.ReadyHandler(d.ready), forFronts: d.exchange, forOperators: operatorRoutes.Handler(),
+		callersListener: d.front, balancerListener: platform.ReadyHandler(d.ready), frontsListener: d.exchange, operatorsListener: operatorRoutes.Handler(),
 	}
 	out := make([]*http.Server, len(listeners))
 	for i, handler := range handlers {
@@ -253,7 +253,7 @@
 // ready says whether the front can take calls.
 func (d *Front) ready() error {
 	switch {
-	case d.red.Load():
+	case d.draining.Load():
 		return runworks.ErrStopping
 	case d.forwarder.Table.Load() == nil:
 		return runworks.ErrNotReady
@@ -263,21 +263,21 @@
 		return errorx.Decorate(runworks.ErrNotReady, "no other front was heard yet")
 	case !d.suspects.FirstReadDone():
 		return errorx.Decorate(runworks.ErrNotReady, "the requests that end backend servers are not known")
-	case !d.isOpen() && d.routingBehind(time.Now()):
+	case !d.isInitialized() && d.routingBehind(time.Now()):
 		return errorx.Decorate(runworks.ErrNotReady, "another front has a newer routing")
-	case !d.listed.Load():
+	case !d.serversListed.Load():
 		return errorx.Decorate(runworks.ErrNotReady, "no list of backend servers was read")
 	}
 	return nil
 }
 
-// takeHeld lets the calls go on that were held until the front has read its state.
-func (d *Front) takeHeld() {
-	if d.isOpen() {
+// admitHeldCalls lets the calls go on that were held until the front has read its state.
+func (d *Front) admitHeldCalls() {
+	if d.isInitialized() {
 		return
 	}
 	if d.ready() == nil {
-		d.openOnce.Do(func() { close(d.opened) })
+		d.initializeOnce.Do(func() { close(d.initialized) })
 	}
 }
 
--- a/daemon/front_quarantine.go
+++ b/daemon/front_quarantine.go
@@ -15,7 +15,7 @@
 	}
 }
 
-func (d *Front) onHeld(s runworks.Suspect, wait time.Duration) {
+func (d *Front) onQuarantine(s runworks.Suspect, wait time.Duration) {
 	servers := make([]string, 0, len(s.Exits))
 	for _, e := range s.Exits {
 		servers = append(servers, e.Server)
@@ -23,18 +23,18 @@
 	d.Logger.Warn("request held in quarantine", "fingerprint", s.Fingerprint, "servers", servers, "first_end", s.Exits[0].At, "for_ms", wait.Milliseconds())
 }
 
-func (d *Front) onLifted(f runworks.Fingerprint) {
+func (d *Front) onRelease(f runworks.Fingerprint) {
 	d.Logger.Info("request is no suspect any more", "fingerprint", f)
 }
 
-// lift lets a request go to the servers again, at all fronts; it says whether it was known.
-func (d *Front) lift(fingerprint string) bool {
+// release lets a request go to the servers again, at all fronts; it says whether it was known.
+func (d *Front) release(fingerprint string) bool {
 	return d.quarantine.Release(time.Now(), runworks.Fingerprint(fingerprint))
 }
 
-// blameFor puts the end of a backend server, which its record tells, on the calls that it
+// attributeExits puts the end of a backend server, which its record tells, on the calls that it
 // had broken off.
-func (d *Front) blameFor(server *runworks.Instance) {
+func (d *Front) attributeExits(server *runworks.Instance) {
 	for _, f := range d.quarantine.ServerRemoved(time.Now(), server.IncarnationID()) {
 		d.Logger.Warn("backend server gone that had broken a call off", "server", server.IncarnationID(), "service", server.Service, "fingerprint", f)
 	}
--- a/daemon/front_routing.go
+++ b/daemon/front_routing.go
@@ -11,11 +11,11 @@
 	// routingGrace, and routingPerFront for each front, is how long a newer routing of another
 	// front is waited for, which as a rule is told or can be read from the store: from an older
 	// copy it can't.
-	routingGrace    = time.Second
-	routingPerFront = 5 * time.Millisecond
-	// routingWait bounds how long a front that starts takes no calls as another front has a
+	routingGrace         = time.Second
+	routingGracePerFront = 5 * time.Millisecond
+	// routingTimeout bounds how long a front that starts takes no calls as another front has a
 	// newer routing that it can't get.
-	routingWait = 2 * time.Second
+	routingTimeout = 2 * time.Second
 )
 
 // routingVersion is the version of the routing in force; 0 is none.
@@ -33,39 +33,39 @@
 	if version <= d.routingVersion() {
 		return
 	}
-	d.noteNewest(version)
+	d.noteRoutingVersion(version)
 	w := d.watches[peers.SubjectRouting]
 	if !w.Loaded() {
 		return
 	}
-	d.ask(peers.SubjectRouting, func() {
-		if d.isOpen() {
-			pause.For(d.ctx, routingGrace+time.Duration(d.exchange.LiveCount())*routingPerFront)
+	d.requestOnce(peers.SubjectRouting, func() {
+		if d.isInitialized() {
+			pause.For(d.ctx, routingGrace+time.Duration(d.exchange.LiveCount())*routingGracePerFront)
 		}
 		if version > d.routingVersion() {
-			d.learn(from, peers.SubjectRouting, w)
+			d.syncFromPeer(from, peers.SubjectRouting, w)
 		}
-		d.takeHeld()
+		d.admitHeldCalls()
 	})
 }
 
-// noteNewest notes a version of the routing that another front told of.
-func (d *Front) noteNewest(version int64) {
-	told := d.newestTold.Load()
-	for version > told && !d.newestTold.CompareAndSwap(told, version) {
-		told = d.newestTold.Load()
+// noteRoutingVersion notes a version of the routing that another front told of.
+func (d *Front) noteRoutingVersion(version int64) {
+	newest := d.newestReportedRouting.Load()
+	for version > newest && !d.newestReportedRouting.CompareAndSwap(newest, version) {
+		newest = d.newestReportedRouting.Load()
 	}
 }
 
 // routingBehind says whether another front told of a newer routing, which is still to come.
 func (d *Front) routingBehind(now time.Time) bool {
-	return d.newestTold.Load() > d.routingVersion() && now.Sub(d.started) < routingWait
+	return d.newestReportedRouting.Load() > d.routingVersion() && now.Sub(d.started) < routingTimeout
 }
 
-// isOpen says whether calls are let through.
-func (d *Front) isOpen() bool {
+// isInitialized says whether calls are let through.
+func (d *Front) isInitialized() bool {
 	select {
-	case <-d.opened:
+	case <-d.initialized:
 		return true
 	default:
 		return false
--- a/daemon/front_servers.go
+++ b/daemon/front_servers.go
@@ -13,19 +13,19 @@
 )
 
 // onServers puts the list of backend servers in force.
-func (d *Front) onServers(records []platform.Record, take func([]platform.Record) []platform.BadRecord, returned bool) {
+func (d *Front) onServers(records []platform.Record, apply func([]platform.Record) []platform.BadRecord, restored bool) {
 	d.serversMu.Lock()
 	defer d.serversMu.Unlock()
 	now := time.Now()
-	if returned {
-		d.lapses.StoreRestored(now)
+	if restored {
+		d.expiryFilter.StoreRestored(now)
 	}
-	for _, bad := range take(records) {
+	for _, bad := range apply(records) {
 		d.noteBadRecord(bad)
 	}
-	d.putServers(now)
-	d.listed.Store(true)
-	d.takeHeld()
+	d.applyServers(now)
+	d.serversListed.Store(true)
+	d.admitHeldCalls()
 }
 
 // noteBadRecord counts and logs a record that names no backend server to use.
@@ -34,42 +34,42 @@
 	d.Logger.Error("record names no backend server to use", "key", bad.Key, "error", bad.Err.Error())
 }
 
-// servicesChanged looks again for servers whose services are routed to.
-func (d *Front) servicesChanged() {
+// onServicesChanged looks again for servers whose services are routed to.
+func (d *Front) onServicesChanged() {
 	d.serversMu.Lock()
 	defer d.serversMu.Unlock()
-	if d.listed.Load() {
-		d.putServers(time.Now())
+	if d.serversListed.Load() {
+		d.applyServers(time.Now())
 	}
 }
 
-// named gives the servers of the services that the routing names. The others are told of
+// withRoutes gives the servers of the services that the routing names. The others are told of
 // once, and kept for a routing that names theirs.
-func (d *Front) named(list []runworks.Instance) []runworks.Instance {
+func (d *Front) withRoutes(list []runworks.Instance) []runworks.Instance {
 	table := d.forwarder.Table.Load()
 	if table == nil {
 		return list
 	}
-	unnamed := make(map[string]bool)
+	unrouted := make(map[string]bool)
 	out := list[:0]
 	for _, one := range list {
 		if table.HasService(one.Service) {
 			out = append(out, one)
 			continue
 		}
-		unnamed[one.IncarnationID()] = true
-		if !d.unnamed[one.IncarnationID()] {
+		unrouted[one.IncarnationID()] = true
+		if !d.unrouted[one.IncarnationID()] {
 			d.noteBadRecord(platform.BadRecord{Key: one.ID, Err: errorx.Decorate(runworks.ErrUnknownService, "%.100s", one.Service)})
 		}
 	}
-	d.unnamed = unnamed
+	d.unrouted = unrouted
 	return out
 }
 
-// putServers puts the list in force, and again when the time of those is over whose
+// applyServers puts the list in force, and again when the time of those is over whose
 // records the store may have lost, or may have from before they went.
-func (d *Front) putServers(now time.Time) {
-	list, again := d.lapses.Merge(now, d.named(d.servers.List()))
+func (d *Front) applyServers(now time.Time) {
+	list, again := d.expiryFilter.Merge(now, d.withRoutes(d.servers.List()))
 	change := d.dispatcher.SetServers(list)
 	if again > 0 {
 		d.Logger.Warn("records of backend servers are in doubt, looked at again in a while", "known", len(list), "for_ms", again.Milliseconds())
@@ -77,7 +77,7 @@
 			pause.For(d.ctx, again)
 			d.serversMu.Lock()
 			defer d.serversMu.Unlock()
-			d.putServers(time.Now())
+			d.applyServers(time.Now())
 		})
 	}
 	for _, one := range change.Added {
@@ -87,7 +87,7 @@
 		d.Logger.Info("backend server leaves", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
 	for _, one := range change.Exited {
-		d.blameFor(&one)
+		d.attributeExits(&one)
 	}
 	for _, one := range change.Restarted {
 		d.pool.CloseIdle(one.Address)
@@ -95,27 +95,27 @@
 	}
 }
 
-func (d *Front) onSuspend(server runworks.Instance, failures int, wait time.Duration) {
+func (d *Front) onEject(server runworks.Instance, failures int, wait time.Duration) {
 	d.Logger.Warn("backend server left out", "server", server.ID, "service", server.Service, "failures", failures, "for_ms", wait.Milliseconds())
 }
 
-func (d *Front) onSilent(server runworks.Instance, silent bool) {
-	if silent {
+func (d *Front) onUnresponsive(server runworks.Instance, unresponsive bool) {
+	if unresponsive {
 		d.Logger.Warn("backend server silent, left out until it is heard", "server", server.ID, "service", server.Service)
 		return
 	}
 	d.Logger.Info("backend server heard again", "server", server.ID, "service", server.Service)
 }
 
-func (d *Front) onDoubt(server runworks.Instance, entries int) {
-	if entries > 0 {
-		d.Logger.Warn("backend server left out by other fronts", "server", server.ID, "service", server.Service, "fronts", entries)
+func (d *Front) onPeerEject(server runworks.Instance, fronts int) {
+	if fronts > 0 {
+		d.Logger.Warn("backend server left out by other fronts", "server", server.ID, "service", server.Service, "fronts", fronts)
 		return
 	}
 	d.Logger.Info("backend server left out by no other front any more", "server", server.ID, "service", server.Service)
 }
 
-func (d *Front) onLimit(server runworks.Instance, c dispatch.LimitChange) {
+func (d *Front) onRateLimit(server runworks.Instance, c dispatch.LimitChange) {
 	if !c.Limit.Named {
 		d.Logger.Info("backend server limits its requests no more", "server", server.IncarnationID(), "service", server.Service, "told_by", c.From)
 		return
@@ -124,12 +124,12 @@
 		"part_per_second", c.Share.PerSecond, "part_at_once", c.Share.Burst, "entries", c.Entries)
 }
 
-func (d *Front) onLeaving(server runworks.Instance, from string) {
+func (d *Front) onDraining(server runworks.Instance, from string) {
 	metrics.Count(d.metrics.ServerReports, metrics.ReportKind("leaving"))
 	d.Logger.Info("backend server says that it leaves", "server", server.IncarnationID(), "service", server.Service, "address", server.Address, "told_by", from)
 }
 
-func (d *Front) onRest(server runworks.Instance, lasts time.Duration) {
+func (d *Front) onBackoff(server runworks.Instance, duration time.Duration) {
 	metrics.Count(d.metrics.ServerReports, metrics.ReportKind("rest"))
-	d.Logger.Warn("backend server asks for rest", "server", server.IncarnationID(), "service", server.Service, "for_ms", lasts.Milliseconds())
+	d.Logger.Warn("backend server asks for rest", "server", server.IncarnationID(), "service", server.Service, "for_ms", duration.Milliseconds())
 }
--- a/daemon/process.go
+++ b/daemon/process.go
@@ -37,9 +37,9 @@
 	Tracer trace.Tracer
 }
 
-// fill puts the usual parts in the place of nil ones; the function it gives
+// setDefaults puts the usual parts in the place of nil ones; the function it gives
 // sends the last spans.
-func (p *Deps) fill(ctx context.Context, c *setting.Common) (func(), error) {
+func (p *Deps) setDefaults(ctx context.Context, c *setting.Common) (func(), error) {
 	if p.Log == nil {
 		p.Log = &platform.Log{Address: c.LogService}
 	}
@@ -83,49 +83,49 @@
 	_ = provider.Shutdown(ctx)
 }
 
-// follower builds the follower of the configuration log.
-func follower(p *Deps, c *setting.Common) *config.Follower {
+// newFollower builds the newFollower of the configuration log.
+func newFollower(p *Deps, c *setting.Common) *config.Follower {
 	return &config.Follower{Log: p.Log, PollInterval: c.ConfigPoll, RepublishInterval: c.RepublishInterval, Logger: p.Logger}
 }
 
 // listen opens a listener and says where on the log.
-func (p *Deps) listen(what, address string) (net.Listener, error) {
+func (p *Deps) listen(client, address string) (net.Listener, error) {
 	listener, err := p.Listen(address)
 	if err != nil {
-		return nil, errorx.Decorate(err, "listen for %s on %s", what, address)
+		return nil, errorx.Decorate(err, "listen for %s on %s", client, address)
 	}
-	p.Logger.Info("listening", "for", what, "address", listener.Addr().String())
+	p.Logger.Info("listening", "for", client, "address", listener.Addr().String())
 	return listener, nil
 }
 
-// servers are the two servers of a process: towards its peers, who are callers or
+// httpServers are the two httpServers of a process: towards its peers, who are callers or
 // entries, and towards operators.
-type servers struct {
-	peers, operators                 *http.Server
-	peersListener, operatorsListener net.Listener
+type httpServers struct {
+	clients, operators                 *http.Server
+	clientsListener, operatorsListener net.Listener
 }
 
-// open listens for both.
-func (s *servers) open(p *Deps, c *setting.Common, peers string) error {
+// listen listens for both.
+func (s *httpServers) listen(deps *Deps, c *setting.Common, clients string) error {
 	var err error
-	if s.peersListener, err = p.listen(peers, c.Listen); err != nil {
+	if s.clientsListener, err = deps.listen(clients, c.Listen); err != nil {
 		return err
 	}
-	if s.operatorsListener, err = p.listen("operators", c.Operators); err != nil {
-		_ = s.peersListener.Close()
+	if s.operatorsListener, err = deps.listen("operators", c.Operators); err != nil {
+		_ = s.clientsListener.Close()
 		return err
 	}
 	return nil
 }
 
 // serve runs both until they are closed.
-func (s *servers) serve(work *conc.WaitGroup) {
-	work.Go(func() { _ = s.peers.Serve(s.peersListener) })
+func (s *httpServers) serve(work *conc.WaitGroup) {
+	work.Go(func() { _ = s.clients.Serve(s.clientsListener) })
 	work.Go(func() { _ = s.operators.Serve(s.operatorsListener) })
 }
 
-func (s *servers) close() {
-	_ = s.peers.Close()
+func (s *httpServers) close() {
+	_ = s.clients.Close()
 	_ = s.operators.Close()
 }
 
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -51,36 +51,36 @@
 // Run runs until stop is closed and the planned stop is over.
 func (d *Dev) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer d.close()
-	cfg, err := d.standins(ctx)
+	cfg, err := d.startBackends(ctx)
 	if err != nil {
 		return err
 	}
 	if _, err := config.Apply(ctx, &d.log, 0, cfg); err != nil {
 		return errorx.Decorate(err, "apply the sample configuration")
 	}
-	agentsStop := make(chan struct{})
+	stopAgents := make(chan struct{})
 	for _, service := range cfg.Services {
 		for _, server := range service.BackendServers {
-			if err := d.agent(ctx, agentsStop, &server); err != nil {
+			if err := d.startAgent(ctx, stopAgents, &server); err != nil {
 				return err
 			}
 		}
 	}
-	err = d.entry(ctx, stop)
-	close(agentsStop)
+	err = d.runEntry(ctx, stop)
+	close(stopAgents)
 	return err
 }
 
-// standins starts the backend servers and gives the configuration with their
+// startBackends starts the backend servers and gives the configuration with their
 // addresses.
-func (d *Dev) standins(ctx context.Context) (*runworks.Config, error) {
+func (d *Dev) startBackends(ctx context.Context) (*runworks.Config, error) {
 	handlers := map[string]http.Handler{
 		"{{old}}":   (&standin.Engine{Name: "engine-old", Slots: 4, PrefillPerSecond: 2000, DecodePerSecond: 40}).Handler(),
 		"{{new}}":   (&standin.Engine{Name: "engine-new", Slots: 8, PrefillPerSecond: 8000, DecodePerSecond: 120}).Handler(),
 		"{{plain}}": (&standin.Plain{}).Handler(),
 	}
 	text := Sample
-	for mark, handler := range handlers {
+	for placeholder, handler := range handlers {
 		listener, err := listen(ctx, anyPort)
 		if err != nil {
 			return nil, errorx.Decorate(err, "listen for a stand-in")
@@ -88,28 +88,28 @@
 		server := &http.Server{Handler: handler}
 		d.servers = append(d.servers, server)
 		d.work.Go(func() { _ = server.Serve(listener) })
-		text = strings.ReplaceAll(text, mark, "http://"+listener.Addr().String())
+		text = strings.ReplaceAll(text, placeholder, "http://"+listener.Addr().String())
 	}
 	return config.Parse("sample.yaml", []byte(text))
 }
 
-// agent starts an agent beside a backend server, and puts it on the host list.
-func (d *Dev) agent(ctx context.Context, stop <-chan struct{}, server *runworks.BackendServer) error {
+// startAgent starts an startAgent beside a backend server, and puts it on the host list.
+func (d *Dev) startAgent(ctx context.Context, stop <-chan struct{}, server *runworks.BackendServer) error {
 	listener, err := listen(ctx, anyPort)
 	if err != nil {
 		return errorx.Decorate(err, "listen for an agent")
 	}
 	name := "host-" + server.Name
-	process := &daemon.Agent{
-		Settings: &setting.Agent{Common: d.common(name, server.Hall), Server: server.Name},
+	agent := &daemon.Agent{
+		Settings: &setting.Agent{Common: d.commonSettings(name, server.Hall), Server: server.Name},
 		Deps: daemon.Deps{
 			Log: &d.log, Logger: d.Logger.Named(name),
-			Listen: listenFirst(ctx, listener),
+			Listen: presetListeners(ctx, listener),
 		},
 	}
 	d.hosts.Put(runworks.Host{Name: name, Role: runworks.RoleAgent, Hall: server.Hall, Address: listener.Addr().String()})
 	d.work.Go(func() {
-		if err := process.Run(ctx, stop); err != nil {
+		if err := agent.Run(ctx, stop); err != nil {
 			d.Logger.Error("agent ended", "server", server.Name, "error", err)
 		}
 	})
@@ -120,20 +120,20 @@
 	return (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 }
 
-// listenFirst gives open listeners first, in turn, and then ports that the kernel
+// presetListeners gives open listeners first, in turn, and then ports that the kernel
 // picks.
-func listenFirst(ctx context.Context, open ...net.Listener) func(string) (net.Listener, error) {
+func presetListeners(ctx context.Context, listeners ...net.Listener) func(string) (net.Listener, error) {
 	return func(address string) (net.Listener, error) {
-		if len(open) == 0 {
+		if len(listeners) == 0 {
 			return listen(ctx, address)
 		}
-		next := open[0]
-		open = open[1:]
+		next := listeners[0]
+		listeners = listeners[1:]
 		return next, nil
 	}
 }
 
-func (d *Dev) entry(ctx context.Context, stop <-chan struct{}) error {
+func (d *Dev) runEntry(ctx context.Context, stop <-chan struct{}) error {
 	d.hosts.Put(runworks.Host{Name: "entry", Role: runworks.RoleEntry, Hall: "walvis-a"})
 	listener, err := listen(ctx, d.Listen)
 	if err != nil {
@@ -143,26 +143,26 @@
 	if err != nil {
 		return errorx.Decorate(err, "listen for operators")
 	}
-	process := &daemon.Entry{
-		Settings: &setting.Entry{Common: d.common("entry", "walvis-a")},
+	entry := &daemon.Entry{
+		Settings: &setting.Entry{Common: d.commonSettings("entry", "walvis-a")},
 		Deps: daemon.Deps{
 			Log: &d.log, Hosts: &d.hosts, Logger: d.Logger.Named("entry"),
-			Listen: listenFirst(ctx, listener, operators),
+			Listen: presetListeners(ctx, listener, operators),
 		},
 	}
-	d.greet(listener.Addr().String(), operators.Addr().String())
-	return process.Run(ctx, stop)
+	d.printUsage(listener.Addr().String(), operators.Addr().String())
+	return entry.Run(ctx, stop)
 }
 
-func (d *Dev) common(name, hall string) setting.Common {
+func (d *Dev) commonSettings(name, hall string) setting.Common {
 	return setting.Common{
 		Name: name, Hall: hall, Operators: anyPort, FleetKeys: []string{fleetKey},
 		ConfigPoll: setting.DefaultConfigPoll, RepublishInterval: setting.DefaultRepublishInterval, StopLimit: setting.DefaultStopLimit,
 	}
 }
 
-// greet tells the person at the keyboard how to make a call.
-func (d *Dev) greet(address, operators string) {
+// printUsage tells the person at the keyboard how to make a call.
+func (d *Dev) printUsage(address, operators string) {
 	_, _ = fmt.Fprintf(d.Out, `runworks dev is ready on http://%[1]s with the key %[2]s
 
 Try a question to an engine, streamed:
--- a/routers/callers/engine.go
+++ b/routers/callers/engine.go
@@ -29,7 +29,7 @@
 
 // completions takes a call of the completions interface.
 func (rt *Routes) completions(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	ctx, span := rt.span(r)
+	ctx, span := rt.startSpan(r)
 	defer span.End()
 	body, err := rt.readBody(w, r)
 	if err != nil {
@@ -41,19 +41,19 @@
 		writeFailure(w, "", badRequest("the body is not JSON of the completions interface: %v", err))
 		return
 	}
-	ask, err := newAsk(r)
+	req, err := newRequest(r)
 	if err != nil {
 		writeFailure(w, "", err)
 		return
 	}
-	ask.Model = c.Model
-	ask.PromptTokens = len(body) / bytesPerToken
-	ask.MaxTokens = answerTokens(&c)
-	ask.Call = runworks.Call{Method: http.MethodPost, Path: r.URL.Path, Header: engineHeader(r), Body: body}
-	rt.serve(ctx, w, ask)
+	req.Model = c.Model
+	req.PromptTokens = len(body) / bytesPerToken
+	req.MaxTokens = completionTokens(&c)
+	req.Call = runworks.Call{Method: http.MethodPost, Path: r.URL.Path, Header: engineHeader(r), Body: body}
+	rt.serve(ctx, w, req)
 }
 
-func answerTokens(c *completion) int {
+func completionTokens(c *completion) int {
 	if n := max(c.MaxTokens, c.MaxCompletionTokens); n > 0 {
 		return n
 	}
@@ -71,9 +71,9 @@
 	return out
 }
 
-// newAsk reads what every call may say in its header.
-func newAsk(r *http.Request) (*admission.Request, error) {
-	ask := &admission.Request{
+// newRequest reads what every call may say in its header.
+func newRequest(r *http.Request) (*admission.Request, error) {
+	req := &admission.Request{
 		Key:            bearer(r),
 		Kind:           r.Header.Get(runworks.HeaderKind),
 		Tier:           r.Header.Get(runworks.HeaderTier),
@@ -81,14 +81,14 @@
 	}
 	text := r.Header.Get(runworks.HeaderTimeout)
 	if text == "" {
-		return ask, nil
+		return req, nil
 	}
 	timeout, err := time.ParseDuration(text)
 	if err != nil || timeout <= 0 {
 		return nil, badRequest("%s: %q is not a time such as 30s", runworks.HeaderTimeout, text)
 	}
-	ask.Timeout = timeout
-	return ask, nil
+	req.Timeout = timeout
+	return req, nil
 }
 
 func bearer(r *http.Request) string {
@@ -118,15 +118,15 @@
 
 // models lists the models that the caller may use.
 func (rt *Routes) models(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	now, customer, err := rt.Admission.Customer(bearer(r))
+	active, customer, err := rt.Admission.Customer(bearer(r))
 	if err != nil {
 		writeFailure(w, "", err)
 		return
 	}
 	list := modelList{Object: "list", Data: []model{}}
-	for i := range now.Config.Services {
-		s := &now.Config.Services[i]
-		if !now.Allows(customer.Name, s.Name) {
+	for i := range active.Config.Services {
+		s := &active.Config.Services[i]
+		if !active.Allows(customer.Name, s.Name) {
 			continue
 		}
 		for _, name := range s.Models {
--- a/routers/callers/plain.go
+++ b/routers/callers/plain.go
@@ -19,26 +19,26 @@
 
 // plain takes a call of a plain service.
 func (rt *Routes) plain(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	ctx, span := rt.span(r)
+	ctx, span := rt.startSpan(r)
 	defer span.End()
 	body, err := rt.readBody(w, r)
 	if err != nil {
 		writeFailure(w, "", err)
 		return
 	}
-	ask, err := newAsk(r)
+	req, err := newRequest(r)
 	if err != nil {
 		writeFailure(w, "", err)
 		return
 	}
-	ask.Service = params.ByName("service")
-	ask.MaxTokens = 1
+	req.Service = params.ByName("service")
+	req.MaxTokens = 1
 	path := params.ByName("path")
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
-	ask.Call = runworks.Call{Method: r.Method, Path: path, Header: plainHeader(r.Header), Body: body}
-	rt.serve(ctx, w, ask)
+	req.Call = runworks.Call{Method: r.Method, Path: path, Header: plainHeader(r.Header), Body: body}
+	rt.serve(ctx, w, req)
 }
 
 // hopHeaders concern one connection only, and are not passed on.
@@ -50,7 +50,7 @@
 // plainHeader gives the header a plain service gets: the caller's, less what
 // concerns the connection, the customer's key and runworks itself.
 func plainHeader(header http.Header) http.Header {
-	out := endToEnd(header)
+	out := withoutHopHeaders(header)
 	out.Del("Authorization")
 	for name := range out {
 		if strings.HasPrefix(name, "Runworks-") {
@@ -60,8 +60,8 @@
 	return out
 }
 
-// endToEnd copies a header less what concerns one connection only.
-func endToEnd(header http.Header) http.Header {
+// withoutHopHeaders copies a header less what concerns one connection only.
+func withoutHopHeaders(header http.Header) http.Header {
 	out := header.Clone()
 	for _, value := range header.Values("Connection") {
 		for _, name := range strings.Split(value, ",") {
@@ -74,8 +74,8 @@
 	return out
 }
 
-// span begins the span of the entry's hop, in the caller's trace if it has one.
-func (rt *Routes) span(r *http.Request) (context.Context, trace.Span) {
+// startSpan begins the startSpan of the entry's hop, in the caller's trace if it has one.
+func (rt *Routes) startSpan(r *http.Request) (context.Context, trace.Span) {
 	ctx := tracing.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return rt.Tracer.Start(ctx, tracing.SpanEntry)
 }
--- a/routers/callers/response.go
+++ b/routers/callers/response.go
@@ -15,52 +15,52 @@
 )
 
 const (
-	// wholeBytes is how much of an answer is read before its head is written, so
+	// bufferedBytes is how much of an answer is read before its head is written, so
 	// that a short one that breaks still gets an error of its own.
-	wholeBytes = 1 << 20
-	copyBytes  = 32 << 10
+	bufferedBytes   = 1 << 20
+	copyBufferBytes = 32 << 10
 )
 
-// writeAnswer passes an answer on to the caller. One that breaks after its head
+// writeResponse passes an answer on to the caller. One that breaks after its head
 // was written ends the connection, so that it never looks finished.
-func writeAnswer(w http.ResponseWriter, id runworks.RequestID, answer *entry.Response) {
-	if isEventStream(answer) {
-		writeHead(w, answer)
+func writeResponse(w http.ResponseWriter, id runworks.RequestID, res *entry.Response) {
+	if isEventStream(res) {
+		writeHead(w, res)
 		_ = http.NewResponseController(w).Flush()
-		finish(w, id, copyEvents(w, answer), true)
+		abortOnError(w, id, copyEvents(w, res), true)
 		return
 	}
-	first, err := io.ReadAll(io.LimitReader(answer, wholeBytes))
+	first, err := io.ReadAll(io.LimitReader(res, bufferedBytes))
 	if err != nil {
 		writeFailure(w, id, err)
 		return
 	}
-	writeHead(w, answer)
+	writeHead(w, res)
 	if _, err := w.Write(first); err != nil {
 		return
 	}
-	_, err = io.Copy(w, answer)
-	finish(w, id, err, false)
+	_, err = io.Copy(w, res)
+	abortOnError(w, id, err, false)
 }
 
-func isEventStream(answer *entry.Response) bool {
-	kind, _, _ := mime.ParseMediaType(http.Header(answer.Head.Header).Get("Content-Type"))
-	return kind == "text/event-stream"
+func isEventStream(res *entry.Response) bool {
+	mediaType, _, _ := mime.ParseMediaType(http.Header(res.Head.Header).Get("Content-Type"))
+	return mediaType == "text/event-stream"
 }
 
-func writeHead(w http.ResponseWriter, answer *entry.Response) {
-	for name, values := range endToEnd(answer.Head.Header) {
+func writeHead(w http.ResponseWriter, res *entry.Response) {
+	for name, values := range withoutHopHeaders(res.Head.Header) {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(answer.Head.Status)
+	w.WriteHeader(res.Head.Status)
 }
 
 // copyEvents passes a stream on as it comes.
-func copyEvents(w http.ResponseWriter, answer io.Reader) error {
+func copyEvents(w http.ResponseWriter, body io.Reader) error {
 	flush := http.NewResponseController(w)
-	p := make([]byte, copyBytes)
+	p := make([]byte, copyBufferBytes)
 	for {
-		n, err := answer.Read(p)
+		n, err := body.Read(p)
 		if n > 0 {
 			if _, werr := w.Write(p[:n]); werr != nil {
 				return werr
@@ -76,9 +76,9 @@
 	}
 }
 
-// finish ends the connection of an answer that broke; an event stream says so
+// abortOnError ends the connection of an answer that broke; an event stream says so
 // in an event of its own first.
-func finish(w http.ResponseWriter, id runworks.RequestID, err error, events bool) {
+func abortOnError(w http.ResponseWriter, id runworks.RequestID, err error, events bool) {
 	if err == nil {
 		return
 	}
@@ -104,14 +104,14 @@
 	RequestID runworks.RequestID `json:"request_id,omitempty"`
 }
 
-// answerFor gives the status and the code for a cause.
-type answerFor struct {
+// errorResponse gives the status and the code for a cause.
+type errorResponse struct {
 	err    error
 	status int
 	code   string
 }
 
-var answers = []answerFor{
+var errorResponses = []errorResponse{
 	{runworks.ErrNoKey, http.StatusUnauthorized, "no_key"},
 	{runworks.ErrUnknownKey, http.StatusUnauthorized, "unknown_key"},
 	{runworks.ErrUnknownModel, http.StatusNotFound, "unknown_model"},
@@ -134,7 +134,7 @@
 
 // statusOf finds the status and the code of an error.
 func statusOf(err error) (int, string) {
-	for _, one := range answers {
+	for _, one := range errorResponses {
 		if errors.Is(err, one.err) {
 			return one.status, one.code
 		}
@@ -149,11 +149,11 @@
 	if errors.As(err, &failure) {
 		outcome = failure.Outcome
 	}
-	kind := "invalid_request_error"
+	errorType := "invalid_request_error"
 	if status >= http.StatusInternalServerError {
-		kind = "server_error"
+		errorType = "server_error"
 	}
-	return &errorReply{Error: errorDetail{Message: err.Error(), Type: kind, Code: code, Outcome: outcome, RequestID: id}}
+	return &errorReply{Error: errorDetail{Message: err.Error(), Type: errorType, Code: code, Outcome: outcome, RequestID: id}}
 }
 
 // writeFailure gives a request its final answer.
@@ -163,7 +163,7 @@
 	w.Header().Set(runworks.HeaderOutcome, string(body.Error.Outcome))
 	// The well-known client libraries come back by themselves after many errors;
 	// this tells them to only where the request did not run and may yet.
-	w.Header().Set("X-Should-Retry", strconv.FormatBool(worthRetrying(err)))
+	w.Header().Set("X-Should-Retry", strconv.FormatBool(shouldRetry(err)))
 	var failure *runworks.Failure
 	if errors.As(err, &failure) {
 		if failure.RetryAfter > 0 {
@@ -202,8 +202,8 @@
 	}})
 }
 
-// worthRetrying says whether a caller does well to send the request again.
-func worthRetrying(err error) bool {
+// shouldRetry says whether a caller does well to send the request again.
+func shouldRetry(err error) bool {
 	var failure *runworks.Failure
 	return errors.As(err, &failure) && failure.Outcome == runworks.OutcomeNotRun && failure.RetryAfter > 0
 }
--- a/routers/callers/routes.go
+++ b/routers/callers/routes.go
@@ -64,20 +64,20 @@
 }
 
 // serve admits a call and passes its answer on.
-func (rt *Routes) serve(ctx context.Context, w http.ResponseWriter, ask *admission.Request) {
-	admitted, err := rt.Admission.Admit(ask)
+func (rt *Routes) serve(ctx context.Context, w http.ResponseWriter, req *admission.Request) {
+	admitted, err := rt.Admission.Admit(req)
 	if err != nil {
 		writeFailure(w, "", err)
 		return
 	}
 	defer admitted.Release()
-	req := admitted.Request
-	w.Header().Set(runworks.HeaderRequestID, string(req.ID))
-	answer, err := rt.Entry.Serve(ctx, req)
+	admittedReq := admitted.Request
+	w.Header().Set(runworks.HeaderRequestID, string(admittedReq.ID))
+	res, err := rt.Entry.Serve(ctx, admittedReq)
 	if err != nil {
-		writeFailure(w, req.ID, err)
+		writeFailure(w, admittedReq.ID, err)
 		return
 	}
-	defer answer.Close()
-	writeAnswer(w, req.ID, answer)
+	defer res.Close()
+	writeResponse(w, admittedReq.ID, res)
 }
--- a/routers/runs/runs.go
+++ b/routers/runs/runs.go
@@ -54,22 +54,22 @@
 
 // start runs a granted request and streams its answer.
 func (rt *Routes) start(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	order, err := readOrder(w, r, params)
+	order, err := readRunRequest(w, r, params)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	ctx := tracing.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	if err := rt.Agent.StartRun(ctx, order); err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	rt.stream(w, r, order.ID, order.Incarnation, 0)
 }
 
-// readOrder reads the whole body before the request may start, so that a body
+// readRunRequest reads the whole body before the request may start, so that a body
 // that is cut short starts nothing.
-func readOrder(w http.ResponseWriter, r *http.Request, params httprouter.Params) (*agent.RunRequest, error) {
+func readRunRequest(w http.ResponseWriter, r *http.Request, params httprouter.Params) (*agent.RunRequest, error) {
 	o := &agent.RunRequest{
 		ID:          runworks.RequestID(params.ByName("id")),
 		Incarnation: runworks.Incarnation(r.Header.Get(control.HeaderIncarnation)),
@@ -107,7 +107,7 @@
 
 func (rt *Routes) cancel(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	if runworks.Incarnation(r.Header.Get(control.HeaderIncarnation)) != rt.Agent.Incarnation() {
-		refuse(w, &agent.RefusalError{State: control.StateUnknown})
+		writeRefusal(w, &agent.RefusalError{State: control.StateUnknown})
 		return
 	}
 	rt.Agent.Cancel(runworks.RequestID(params.ByName("id")))
@@ -116,16 +116,16 @@
 
 // stream writes a run's answer from an offset on. A whole stream ends with the
 // trailer of its outcome; one that breaks has none.
-func (rt *Routes) stream(w http.ResponseWriter, r *http.Request, id runworks.RequestID, life runworks.Incarnation, from int64) {
-	reader, err := rt.Agent.Open(id, life)
+func (rt *Routes) stream(w http.ResponseWriter, r *http.Request, id runworks.RequestID, incarnation runworks.Incarnation, from int64) {
+	reader, err := rt.Agent.Open(id, incarnation)
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	defer reader.Close()
 	head, err := reader.Head(r.Context())
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
 	encoded, err := json.Marshal(head)
@@ -145,7 +145,7 @@
 		_ = flush.Flush()
 		p, end, err := reader.Next(r.Context(), from)
 		if end {
-			w.Header().Set(control.HeaderRunOutcome, string(ending(err)))
+			w.Header().Set(control.HeaderRunOutcome, string(outcomeOf(err)))
 			return
 		}
 		if err != nil {
@@ -158,15 +158,15 @@
 	}
 }
 
-func ending(err error) runworks.Outcome {
+func outcomeOf(err error) runworks.Outcome {
 	if err != nil {
 		return runworks.OutcomeFailed
 	}
 	return runworks.OutcomeDone
 }
 
-// refuse tells the entry that there is no stream, and why.
-func refuse(w http.ResponseWriter, err error) {
+// writeRefusal tells the entry that there is no stream, and why.
+func writeRefusal(w http.ResponseWriter, err error) {
 	var refusal *agent.RefusalError
 	if errors.As(err, &refusal) {
 		w.Header().Set(control.HeaderRunOutcome, string(refusal.State))
