--- a/tests/call_test.go
+++ b/tests/call_test.go
@@ -19,7 +19,7 @@
 	"github.com/runworks/runworks/standin"
 )
 
-func hashOf(key string) string {
+func sha256Hex(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
@@ -158,8 +158,8 @@
 	r.Whole = done && r.Err == nil
 }
 
-// want is the answer that the call's own prompt gives.
-func (c *completionCall) want() string {
+// wantText is the answer that the call's own prompt gives.
+func (c *completionCall) wantText() string {
 	if c.Service != "" {
 		return c.Prompt
 	}
@@ -175,7 +175,7 @@
 	if !r.Whole {
 		return fmt.Errorf("status %d, outcome %q, code %q", r.Status, r.Outcome, r.Code)
 	}
-	if r.Text != c.want() {
+	if r.Text != c.wantText() {
 		return fmt.Errorf("the answer to %q is %q", c.Prompt, r.Text)
 	}
 	return nil
--- a/tests/callers_test.go
+++ b/tests/callers_test.go
@@ -26,10 +26,10 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// libraryClient is the well-known client library, unchanged, pointed at an entry.
-func libraryClient(w *world) openai.Client {
+// openAIClient is the well-known client library, unchanged, pointed at an entry.
+func openAIClient(w *simCluster) openai.Client {
 	return openai.NewClient(
-		option.WithBaseURL("http://entry-1:70/v1/"), option.WithAPIKey(worldKey), option.WithHTTPClient(w.client()),
+		option.WithBaseURL("http://entry-1:70/v1/"), option.WithAPIKey(simKey), option.WithHTTPClient(w.client()),
 	)
 }
 
@@ -37,11 +37,11 @@
 func TestClientLibrary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, smallWorld)
+		w := newSimCluster(t, smallSpec)
 		defer w.close()
-		client := libraryClient(w)
+		client := openAIClient(w)
 		params := openai.ChatCompletionNewParams{
-			Model: worldModel, MaxCompletionTokens: openai.Int(12), MaxTokens: openai.Int(12),
+			Model: simModel, MaxCompletionTokens: openai.Int(12), MaxTokens: openai.Int(12),
 			Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("is the hake still frozen")},
 		}
 		want := strings.Join(standin.Words("is the hake still frozen", 12), " ")
@@ -61,7 +61,7 @@
 		models, err := client.Models.List(t.Context())
 		is.NoErr(err)
 		is.Equal(len(models.Data), 1)
-		is.Equal(models.Data[0].ID, worldModel)
+		is.Equal(models.Data[0].ID, simModel)
 	})
 }
 
@@ -69,7 +69,7 @@
 // error with its outcome, and nothing leaks.
 func TestWrongInput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, smallWorld)
+		w := newSimCluster(t, smallSpec)
 		defer w.close()
 		client := w.client()
 		datadriven.RunTest(t, "testdata/wrong_input", func(t *testing.T, d *datadriven.TestData) string {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	if key := arg("key", worldKey); key != "none" {
+	if key := arg("key", simKey); key != "none" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
 	for _, name := range []string{"Runworks-Kind", "Runworks-Tier", "Runworks-Timeout", "Idempotency-Key"} {
@@ -125,15 +125,15 @@
 	return fmt.Sprintf("%d %s %s\n%s\n", res.StatusCode, reply.Error.Code, res.Header.Get("Runworks-Outcome"), reply.Error.Message)
 }
 
-// TestCutBody cuts a call in the middle of its body: it reaches no engine.
-func TestCutBody(t *testing.T) {
+// TestTruncatedBody cuts a call in the middle of its body: it reaches no engine.
+func TestTruncatedBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, smallWorld)
+		w := newSimCluster(t, smallSpec)
 		defer w.close()
 		conn, err := w.net.Dial(t.Context(), "caller", "entry-1:70")
 		is.NoErr(err)
-		_, err = io.WriteString(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+worldKey+
+		_, err = io.WriteString(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+simKey+
 			"\r\nContent-Length: 100\r\n\r\n{\"model\":")
 		is.NoErr(err)
 		res := make(chan string)
@@ -147,25 +147,25 @@
 	})
 }
 
-// TestCallerGoesAway ends a call in the middle of its stream: the engine's work
+// TestCallerDisconnects ends a call in the middle of its stream: the engine's work
 // is cancelled, and its slot is free.
-func TestCallerGoesAway(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, smallWorld)
+		w := newSimCluster(t, smallSpec)
 		defer w.close()
 		ctx, cancel := context.WithCancel(t.Context())
 		c := w.call("entry-1", 1, 10_000)
 		c.Stream = true
 		done := make(chan *result)
 		go func() { done <- c.do(ctx, w.client()) }()
-		w.until("its answer has begun", callers.ReadHeaderTimeout, func() bool {
+		w.waitFor("its answer has begun", callers.ReadHeaderTimeout, func() bool {
 			return w.entry("entry-1").Entry.Status().Tiers["urgent"] == entry.TierStatus{Running: 1}
 		})
-		is.Equal(w.running(), 1)
+		is.Equal(w.runningSlots(), 1)
 		cancel()
 		is.True(!(<-done).Whole)
-		w.until("its slot is free", callers.ReadHeaderTimeout, func() bool { return w.running() == 0 })
+		w.waitFor("its slot is free", callers.ReadHeaderTimeout, func() bool { return w.runningSlots() == 0 })
 		is.Equal(w.entry("entry-1").Entry.Status().Tiers["urgent"], entry.TierStatus{})
 		thrown := 0
 		for _, e := range w.engines {
@@ -181,9 +181,9 @@
 		is := is.New(t)
 		exporter := tracetest.NewInMemoryExporter()
 		provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter))
-		spec := smallWorld
+		spec := smallSpec
 		spec.tracer = provider.Tracer("test")
-		w := newWorld(t, spec)
+		w := newSimCluster(t, spec)
 		defer w.close()
 		c := w.call("entry-1", 1, 5)
 		c.Header = map[string]string{"Traceparent": "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"}
@@ -200,13 +200,13 @@
 	})
 }
 
-// running counts the slots in use at all agents.
-func (w *world) running() int {
+// runningSlots counts the slots in use at all agents.
+func (w *simCluster) runningSlots() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
 	for _, a := range w.agents {
-		n += a.part.Agent.Heartbeat().Running
+		n += a.daemon.Agent.Heartbeat().Running
 	}
 	return n
 }
--- a/tests/capacity_test.go
+++ b/tests/capacity_test.go
@@ -49,7 +49,7 @@
 				c := &completionCall{Entry: s.entries["entry-1"].address("callers"), Key: "site-key", Model: "site-model", Prompt: prompt(i), MaxTokens: 10_000}
 				calls.Go(func() { c.do(ctx, client) })
 			}
-			s.until("all wait", func() bool { return s.requests("entry-1") == waiting })
+			s.waitFor("all wait", func() bool { return s.inFlight("entry-1") == waiting })
 			time.Sleep(2 * time.Second) // offers go round
 			after := s.costs()
 			b.ReportMetric(float64(after.entryMemory-before.entryMemory)/float64(waiting), "entry-B/waiting")
@@ -82,18 +82,18 @@
 	s.t.Helper()
 	var c costs
 	entry := s.entries["entry-1"]
-	c.entryCPU = cpuOf(s.t, entry.cmd.Process.Pid)
-	c.entryMemory = memoryOf(s.t, entry.cmd.Process.Pid)
-	c.entryBytes = metricOf(s.t, "http://"+entry.address("operators")+"/metrics", "runworks_control_bytes_total")
+	c.entryCPU = cpuTime(s.t, entry.cmd.Process.Pid)
+	c.entryMemory = residentMemory(s.t, entry.cmd.Process.Pid)
+	c.entryBytes = sumMetric(s.t, "http://"+entry.address("operators")+"/metrics", "runworks_control_bytes_total")
 	for _, a := range s.agents {
-		c.agentCPU += cpuOf(s.t, a.cmd.Process.Pid)
-		c.agentMemory += memoryOf(s.t, a.cmd.Process.Pid)
+		c.agentCPU += cpuTime(s.t, a.cmd.Process.Pid)
+		c.agentMemory += residentMemory(s.t, a.cmd.Process.Pid)
 	}
 	return c
 }
 
-// memoryOf reads the resident memory of a process from /proc, in bytes.
-func memoryOf(t testing.TB, pid int) int {
+// residentMemory reads the resident memory of a process from /proc, in bytes.
+func residentMemory(t testing.TB, pid int) int {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		t.Fatal(err)
@@ -102,8 +102,8 @@
 	return pages * os.Getpagesize()
 }
 
-// metricOf sums a counter over its labels.
-func metricOf(t testing.TB, url, name string) float64 {
+// sumMetric sums a counter over its labels.
+func sumMetric(t testing.TB, url, name string) float64 {
 	res, err := http.Get(url) //nolint:gosec // a process of this test
 	if err != nil {
 		t.Fatal(err)
--- a/tests/history_test.go
+++ b/tests/history_test.go
@@ -58,7 +58,7 @@
 func (h *history) eventViolations(e *event) []string {
 	r := e.result
 	ran := h.dispatches[r.ID]
-	want := e.call.want()
+	want := e.call.wantText()
 	answered := r.Err == nil
 	refused := answered && r.Status != http.StatusOK
 	shed := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests
@@ -106,7 +106,7 @@
 }
 
 // check fails the test for every violation.
-func (h *history) check(t *testing.T, w *world) {
+func (h *history) check(t *testing.T, w *simCluster) {
 	t.Helper()
 	h.dispatches = w.dispatches()
 	for _, v := range h.violations() {
--- a/tests/measure_test.go
+++ b/tests/measure_test.go
@@ -50,22 +50,22 @@
 	reserve int
 }
 
-// pushed is a baseline: one ticket, to the agent that it picks.
-type pushed struct {
+// pushPicker is a baseline: one ticket, to the agent that it picks.
+type pushPicker struct {
 	pick func(candidates []runworks.Candidate) int
 }
 
 // Pick implements runworks.Picker.
-func (p *pushed) Pick(_ *runworks.Request, c []runworks.Candidate) int { return p.pick(c) }
+func (p *pushPicker) Pick(_ *runworks.Request, c []runworks.Candidate) int { return p.pick(c) }
 
 // Spread implements runworks.Picker.
-func (*pushed) Spread() bool { return false }
+func (*pushPicker) Spread() bool { return false }
 
-func reported(c *runworks.Candidate) float64 {
+func reportedLoad(c *runworks.Candidate) float64 {
 	return float64(c.Running+c.Waiting) / float64(max(c.Slots, 1))
 }
 
-func withOwn(c *runworks.Candidate) float64 {
+func estimatedLoad(c *runworks.Candidate) float64 {
 	return float64(c.Running+c.Waiting+c.SentSinceReport+1) / (c.Speed * float64(max(c.Slots, 1)))
 }
 
@@ -79,25 +79,25 @@
 	return best
 }
 
-func push(choose func(*rand.Rand, []runworks.Candidate) int) func(*rand.Rand) runworks.Picker {
+func pushPolicy(choose func(*rand.Rand, []runworks.Candidate) int) func(*rand.Rand) runworks.Picker {
 	return func(random *rand.Rand) runworks.Picker {
-		return &pushed{pick: func(c []runworks.Candidate) int { return choose(random, c) }}
+		return &pushPicker{pick: func(c []runworks.Candidate) int { return choose(random, c) }}
 	}
 }
 
 func lateBinding(*rand.Rand) runworks.Picker { return pick.LeastWork{} }
 
 var policies = []policy{
-	{"random", push(func(r *rand.Rand, c []runworks.Candidate) int { return r.IntN(len(c)) }), 0},
-	{"least reported load", push(func(r *rand.Rand, c []runworks.Candidate) int { return least(r, c, reported) }), 0},
-	{"two choices, reported", push(func(r *rand.Rand, c []runworks.Candidate) int {
+	{"random", pushPolicy(func(r *rand.Rand, c []runworks.Candidate) int { return r.IntN(len(c)) }), 0},
+	{"least reported load", pushPolicy(func(r *rand.Rand, c []runworks.Candidate) int { return least(r, c, reportedLoad) }), 0},
+	{"two choices, reported", pushPolicy(func(r *rand.Rand, c []runworks.Candidate) int {
 		i, j := r.IntN(len(c)), r.IntN(len(c))
-		if reported(&c[j]) < reported(&c[i]) {
+		if reportedLoad(&c[j]) < reportedLoad(&c[i]) {
 			return j
 		}
 		return i
 	}), 0},
-	{"least reported + own sends", push(func(r *rand.Rand, c []runworks.Candidate) int { return least(r, c, withOwn) }), 0},
+	{"least reported + own sends", pushPolicy(func(r *rand.Rand, c []runworks.Candidate) int { return least(r, c, estimatedLoad) }), 0},
 	{"late binding", lateBinding, 0},
 	{"late binding, 1 reserved", lateBinding, 1},
 }
@@ -106,7 +106,7 @@
 type scenario struct {
 	name  string
 	load  float64
-	fault func(w *world)
+	fault func(w *simCluster)
 }
 
 var scenarios = []scenario{
@@ -115,17 +115,17 @@
 	{"0.9", 0.9, nil},
 	{"1.1", 1.1, nil},
 	{"1.5", 1.5, nil},
-	{"0.9, an engine at a tenth", 0.9, func(w *world) { w.fakes["e1"].setSlow(10) }},
-	{"0.7, an agent killed", 0.7, func(w *world) { w.killAgent("e1") }},
-	{"0.7, an entry killed", 0.7, func(w *world) { w.killEntry("entry-2") }},
-	{"0.7, a hall cut off for 20s", 0.7, func(w *world) {
+	{"0.9, an engine at a tenth", 0.9, func(w *simCluster) { w.fakes["e1"].setSlow(10) }},
+	{"0.7, an agent killed", 0.7, func(w *simCluster) { w.killAgent("e1") }},
+	{"0.7, an entry killed", 0.7, func(w *simCluster) { w.killEntry("entry-2") }},
+	{"0.7, a hall cut off for 20s", 0.7, func(w *simCluster) {
 		for _, server := range []string{"e1", "e2", "e3"} {
 			for _, name := range []string{"entry-1", "entry-2"} {
 				w.cutFor(name, "host-"+server, 20*time.Second)
 			}
 		}
 	}},
-	{"0.9, the platform out", 0.9, func(w *world) {
+	{"0.9, the platform out", 0.9, func(w *simCluster) {
 		for _, host := range []string{"entry-1", "entry-2", "host-e1", "host-e2"} {
 			w.net.Cut(host, "platform")
 		}
@@ -137,13 +137,13 @@
 	speed float64
 	mu    sync.Mutex
 	slow  float64
-	// thrown and prompts count prompt tokens.
-	thrown, prompts int
+	// wasted and prompts count prompt tokens.
+	wasted, prompts int
 }
 
 const (
-	fullPrefill = 8000.0 // prompt tokens a second at speed 1
-	fullDecode  = 80.0   // answer tokens a second and slot at speed 1
+	prefillRate = 8000.0 // prompt tokens a second at speed 1
+	decodeRate  = 80.0   // answer tokens a second and slot at speed 1
 )
 
 func (f *fakeEngine) setSlow(factor float64) {
@@ -176,8 +176,8 @@
 	f.mu.Lock()
 	f.prompts += prompt
 	f.mu.Unlock()
-	if err := f.wait(ctx, float64(prompt), fullPrefill); err != nil {
-		f.throw(prompt)
+	if err := f.wait(ctx, float64(prompt), prefillRate); err != nil {
+		f.addWasted(prompt)
 		return nil, err
 	}
 	body := &fakeBody{engine: f, ctx: ctx, prompt: prompt, answer: answer}
@@ -192,10 +192,10 @@
 // Cancel implements runworks.Backend: the work ends with its context.
 func (*fakeEngine) Cancel(context.Context, runworks.RequestID) {}
 
-func (f *fakeEngine) throw(prompt int) {
+func (f *fakeEngine) addWasted(prompt int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.thrown += prompt
+	f.wasted += prompt
 }
 
 // fakeBody ends once its tokens are decoded.
@@ -212,8 +212,8 @@
 		return 0, io.EOF
 	}
 	b.done = true
-	if err := b.engine.wait(b.ctx, float64(b.answer), fullDecode); err != nil {
-		b.engine.throw(b.prompt)
+	if err := b.engine.wait(b.ctx, float64(b.answer), decodeRate); err != nil {
+		b.engine.addWasted(b.prompt)
 		return 0, err
 	}
 	return copy(p, "whole"), nil
@@ -232,7 +232,7 @@
 type figures struct {
 	mu              sync.Mutex
 	tiers           [2]tierFigures
-	thrown, prompts int
+	wasted, prompts int
 }
 
 // add takes another run's figures in.
@@ -242,12 +242,12 @@
 		a.offered, a.good, a.shed, a.late, a.broken = a.offered+b.offered, a.good+b.good, a.shed+b.shed, a.late+b.late, a.broken+b.broken
 		a.firstByte = append(a.firstByte, b.firstByte...)
 	}
-	f.thrown, f.prompts = f.thrown+o.thrown, f.prompts+o.prompts
+	f.wasted, f.prompts = f.wasted+o.wasted, f.prompts+o.prompts
 }
 
-func (t *tierFigures) goodput() float64 { return share64(t.good, t.offered) }
+func (t *tierFigures) goodput() float64 { return ratio(t.good, t.offered) }
 
-func share64(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
+func ratio(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
 
 // percentile gives a percentile of the times to the first byte, in seconds.
 func (t *tierFigures) percentile(p int) float64 {
@@ -294,8 +294,8 @@
 	for i, p := range policies {
 		a, b := &sums[i].tiers[0], &sums[i].tiers[1]
 		_, _ = fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%.4f\n", p.name, a.goodput(), b.goodput(),
-			a.percentile(50), a.percentile(95), a.percentile(99), share64(a.shed, a.offered), share64(b.shed, b.offered),
-			share64(a.late, a.offered), share64(b.late, b.offered), a.broken+b.broken, share64(sums[i].thrown, sums[i].prompts))
+			a.percentile(50), a.percentile(95), a.percentile(99), ratio(a.shed, a.offered), ratio(b.shed, b.offered),
+			ratio(a.late, a.offered), ratio(b.late, b.offered), a.broken+b.broken, ratio(sums[i].wasted, sums[i].prompts))
 	}
 	_ = w.Flush()
 }
@@ -305,10 +305,10 @@
 	t.Helper()
 	f := &figures{}
 	synctest.Test(t, func(t *testing.T) {
-		w := measureWorld(t, d, p, seed)
+		w := newMeasureCluster(t, d, p, seed)
 		defer w.close()
 		if s.fault != nil {
-			w.work.Go(func() {
+			w.wg.Go(func() {
 				time.Sleep(measureTime / 3)
 				s.fault(w)
 			})
@@ -333,17 +333,17 @@
 		}
 		calls.Wait()
 		for _, e := range w.fakes {
-			f.thrown += e.thrown
+			f.wasted += e.wasted
 			f.prompts += e.prompts
 		}
 	})
 	return f
 }
 
-func measureWorld(t *testing.T, d deployment, p policy, seed uint64) *world {
+func newMeasureCluster(t *testing.T, d deployment, p policy, seed uint64) *simCluster {
 	t.Helper()
 	fakes := map[string]*fakeEngine{}
-	spec := worldSpec{entries: []string{"entry-1", "entry-2"}, latency: d.latency, beatEvery: time.Second}
+	spec := simSpec{entries: []string{"entry-1", "entry-2"}, latency: d.latency, heartbeatInterval: time.Second}
 	for i := range d.engines {
 		speed := []float64{1, 0.4}[i%2]
 		name := fmt.Sprintf("e%d", i+1)
@@ -353,7 +353,7 @@
 	spec.connect = func(server string) runworks.Backend { return fakes[server] }
 	spec.picker = p.picker(rand.New(rand.NewPCG(seed, 6))) //nolint:gosec // a seed is wanted
 	spec.edit = func(cfg *runworks.Config) { cfg.Tiers[0].ReservedSlots = p.reserve }
-	w := newWorld(t, spec)
+	w := newSimCluster(t, spec)
 	w.fakes = fakes
 	return w
 }
@@ -364,7 +364,7 @@
 	shortLimit, longLimit   = 3 * time.Second, 5 * time.Minute
 	// meanSeconds is the mean work of a request at speed 1: nine short ones of
 	// half a second to a long one of fifty.
-	meanSeconds = 0.9*(shortPrompt/fullPrefill+shortAnswer/fullDecode) + 0.1*(longPrompt/fullPrefill+longAnswer/fullDecode)
+	meanSeconds = 0.9*(shortPrompt/prefillRate+shortAnswer/decodeRate) + 0.1*(longPrompt/prefillRate+longAnswer/decodeRate)
 )
 
 // measureRequest draws a request: one in ten a hundred times longer, of one of
@@ -389,14 +389,14 @@
 
 // serve takes one request through an entry, or through the other one if its own
 // has died, as a balancer would.
-func (f *figures) serve(w *world, name string, req *runworks.Request, offered time.Time) {
+func (f *figures) serve(w *simCluster, name string, req *runworks.Request, offered time.Time) {
 	w.mu.Lock()
 	e := w.entries[name]
 	if e == nil {
 		e = w.entries["entry-1"]
 	}
 	w.mu.Unlock()
-	answer, err := e.part.Entry.Serve(context.Background(), req)
+	answer, err := e.daemon.Entry.Serve(context.Background(), req)
 	f.mu.Lock()
 	t := &f.tiers[min(req.Rank, 1)]
 	t.offered++
--- a/tests/mutants_test.go
+++ b/tests/mutants_test.go
@@ -30,7 +30,7 @@
 		d.ScanArgs(t, "file", &file)
 		d.ScanArgs(t, "pkg", &pkg)
 		d.ScanArgs(t, "test", &test)
-		texts, err := mutant.Texts(rootOf(t), file, d.Input)
+		texts, err := mutant.Texts(repoRoot(t), file, d.Input)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,8 +47,8 @@
 	})
 }
 
-// rootOf gives the tree's root.
-func rootOf(t *testing.T) string {
+// repoRoot gives the tree's root.
+func repoRoot(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("..")
 	if err != nil {
@@ -62,7 +62,7 @@
 	t.Helper()
 	// A proof that hangs without its mechanism has caught it too.
 	cmd := exec.Command("go", "test", "-vet=off", "-timeout", mutantTimeout.String(), "-run", test, "./"+pkg)
-	cmd.Dir = rootOf(t)
+	cmd.Dir = repoRoot(t)
 	// In the environment the overlay holds for the programs that a test builds as well.
 	cmd.Env = append(os.Environ(), "GOFLAGS=-overlay="+writeOverlay(t, texts))
 	output, err := cmd.CombinedOutput()
--- a/tests/overhead_test.go
+++ b/tests/overhead_test.go
@@ -29,7 +29,7 @@
 		{name: "app-1", plain: true, slots: 64},
 	}, []string{"entry-1"})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: parallel}}
-	direct := s.backend["fast"].address("standin")
+	direct := s.backends["fast"].address("standin")
 	through := s.entries["entry-1"].address("callers")
 	b.ResetTimer()
 	directTime := timeCalls(b, client, direct, parallel)
@@ -129,8 +129,8 @@
 	b.ReportMetric(float64(after.entryMemory-before.entryMemory)/lanes, "entry-B/stream")
 }
 
-// cpuOf reads the user and system time of a process from /proc.
-func cpuOf(t testing.TB, pid int) time.Duration {
+// cpuTime reads the user and system time of a process from /proc.
+func cpuTime(t testing.TB, pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
--- a/tests/platform_crash_test.go
+++ b/tests/platform_crash_test.go
@@ -56,7 +56,7 @@
 		case "lift":
 			return p.lift(a.fronts[0])
 		case "recorded":
-			p.until("all ends are on record", func() bool { return p.recordedEnds() == p.ended })
+			p.waitFor("all ends are on record", func() bool { return p.recordedEnds() == p.ended })
 			return "done\n"
 		case "send":
 			return p.send(a.fronts, a.method, a.target, endingText, a.calls)
@@ -135,7 +135,7 @@
 // writeAgain puts on the store what was written there of the servers.
 func (p *crashSite) writeAgain() {
 	p.t.Helper()
-	for name := range p.backend {
+	for name := range p.backends {
 		p.listServer(name, "ready")
 	}
 	for _, name := range p.gone {
@@ -177,15 +177,15 @@
 func (p *crashSite) replaceEnded() int {
 	p.t.Helper()
 	n := 0
-	for name, one := range p.backend {
+	for name, one := range p.backends {
 		c, err := net.Dial("tcp", one.address("standin"))
 		if err == nil {
 			_ = c.Close()
 			continue
 		}
-		one.waitEnd()
+		one.waitExit()
 		n++
-		delete(p.backend, name)
+		delete(p.backends, name)
 		if !p.storeDown {
 			p.put("keyed.servers", name, nil)
 			p.gone = append(p.gone, name)
@@ -209,9 +209,9 @@
 			continue
 		default:
 		}
-		p.until(name+" knows what ended", func() bool { return p.knownEnds(one) == p.ended })
+		p.waitFor(name+" knows what ended", func() bool { return p.knownEnds(one) == p.ended })
 		if !p.storeDown {
-			p.until(name+" knows the servers", func() bool { return p.knowsServers(one) })
+			p.waitFor(name+" knows the servers", func() bool { return p.knowsServers(one) })
 		}
 	}
 }
@@ -273,10 +273,10 @@
 		if one.Leaving {
 			continue
 		}
-		if p.backend[one.ID] == nil {
+		if p.backends[one.ID] == nil {
 			return false
 		}
 		n++
 	}
-	return n == len(p.backend)
+	return n == len(p.backends)
 }
--- a/tests/platform_limit_test.go
+++ b/tests/platform_limit_test.go
@@ -82,7 +82,7 @@
 	p.t.Helper()
 	status := p.call(fronts[0], tokens)
 	for _, name := range fronts {
-		p.until(name+" counts the call", func() bool {
+		p.waitFor(name+" counts the call", func() bool {
 			var status struct {
 				LimitsUsed map[string]float64 `json:"limits_used"`
 			}
--- a/tests/platform_record_test.go
+++ b/tests/platform_record_test.go
@@ -26,13 +26,13 @@
 // record is what a backend server of the site tells of itself.
 func (p *platformSite) record(name, state string, born int64) []byte {
 	service, _, _ := strings.Cut(name, "-")
-	return serverRecord(service, p.backend[name].address("standin"), state, born)
+	return serverRecord(service, p.backends[name].address("standin"), state, born)
 }
 
 // logs gives how many lines of a front's log hold all texts.
 func (p *platformSite) logs(front string, texts ...string) int {
 	n := 0
-	for line := range strings.Lines(p.fronts[front].text()) {
+	for line := range strings.Lines(p.fronts[front].outputText()) {
 		holds := true
 		for _, text := range texts {
 			holds = holds && strings.Contains(line, text)
@@ -50,8 +50,8 @@
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1", "front-2")
 	good := string(p.record("app-2", "ready", 0))
-	p.backend["trap"] = start(t, "trap", "standin", "routed", "--instance", "trap")
-	trap := strings.Replace(good, p.backend["app-2"].address("standin"), p.backend["trap"].address("standin"), 1)
+	p.backends["trap"] = startProcess(t, "trap", "standin", "routed", "--instance", "trap")
+	trap := strings.Replace(good, p.backends["app-2"].address("standin"), p.backends["trap"].address("standin"), 1)
 	foreign := []struct{ key, value string }{
 		{"trap-1", strings.Replace(trap, `"slots": 8`, `"slots": "8"`, 1)},
 		{"trap-2", strings.Replace(trap, `"state": "ready"`, `"state": "fine"`, 1)},
@@ -67,11 +67,11 @@
 	}
 	for _, front := range []string{"front-1", "front-2"} {
 		for _, one := range foreign {
-			p.until(front+" tells of "+one.key, func() bool {
+			p.waitFor(front+" tells of "+one.key, func() bool {
 				return p.logs(front, "record names no backend server to use", fmt.Sprintf("%q", one.key)) == 1
 			})
 		}
-		p.until(front+" has dropped app-1", func() bool { return p.logs(front, "backend server leaves", `"app-1"`) == 1 })
+		p.waitFor(front+" has dropped app-1", func() bool { return p.logs(front, "backend server leaves", `"app-1"`) == 1 })
 	}
 	before := len(p.calls("app-1"))
 	for i := range 20 {
@@ -89,14 +89,14 @@
 	is.NoErr(res.Body.Close())
 	is.True(strings.Contains(string(text), fmt.Sprintf("\nrunworks_records_refused_total %d\n", len(foreign))))
 	p.listServer("app-2", "draining") // the only other one
-	p.until("front-1 drops app-2", func() bool { return p.logs("front-1", "backend server leaves", `"app-2"`) == 1 })
+	p.waitFor("front-1 drops app-2", func() bool { return p.logs("front-1", "backend server leaves", `"app-2"`) == 1 })
 	c := platformCall{id: "nowhere", method: http.MethodGet, target: "/safe/1", key: "yard-key"}
 	answer, _, err := p.do("front-1", c)
 	is.NoErr(err)
 	is.Equal(answer.StatusCode, http.StatusServiceUnavailable)
 	p.listServer("app-1", "ready") // it writes again
 	c.id = "again"
-	p.until("app-1 is used again", func() bool {
+	p.waitFor("app-1 is used again", func() bool {
 		answer, _, err := p.do("front-1", c)
 		return err == nil && answer.StatusCode == http.StatusOK
 	})
@@ -110,7 +110,7 @@
 	is := is.New(t)
 	p := newBarePlatformSite(t)
 	p.putDocument()
-	p.backend["app-1"] = start(t, "app-1", "standin", "routed", "--instance", "app-1", "--delay", "1h")
+	p.backends["app-1"] = startProcess(t, "app-1", "standin", "routed", "--instance", "app-1", "--delay", "1h")
 	old := p.record("app-1", "ready", 1000)
 	p.put("keyed.servers", "app-1", old)
 	p.startFront("front-1")
@@ -128,9 +128,9 @@
 			ended <- res.StatusCode
 		}()
 	}
-	p.until("both calls run", func() bool { return len(p.calls("app-1")) == 2 })
-	silent := p.backend["app-1"] // it goes dark: its connections stay open
-	p.backend["app-1"] = start(t, "app-1", "standin", "routed", "--instance", "app-1")
+	p.waitFor("both calls run", func() bool { return len(p.calls("app-1")) == 2 })
+	silent := p.backends["app-1"] // it goes dark: its connections stay open
+	p.backends["app-1"] = startProcess(t, "app-1", "standin", "routed", "--instance", "app-1")
 	began := time.Now()
 	p.put("keyed.servers", "app-1", p.record("app-1", "ready", 2000))
 	for range 2 {
@@ -139,7 +139,7 @@
 	is.True(time.Since(began) < 3*time.Second) // the calls have five
 	p.put("keyed.servers", "app-1", old)
 	for _, front := range []string{"front-1", "front-2"} {
-		p.until("the late record is told of", func() bool { return p.logs(front, "record names no backend server to use", "late") == 1 })
+		p.waitFor("the late record is told of", func() bool { return p.logs(front, "record names no backend server to use", "late") == 1 })
 		res, _, err := p.do(front, platformCall{id: "new at " + front, method: http.MethodPost, target: "/once/2", key: "yard-key"})
 		is.NoErr(err)
 		is.Equal(res.StatusCode, http.StatusOK)
--- a/tests/platform_return_test.go
+++ b/tests/platform_return_test.go
@@ -163,7 +163,7 @@
 func (p *returnSite) know(fronts []string, count int) string {
 	p.t.Helper()
 	for _, front := range fronts {
-		p.until(fmt.Sprintf("%s uses %d servers", front, count), func() bool {
+		p.waitFor(fmt.Sprintf("%s uses %d servers", front, count), func() bool {
 			var status struct {
 				Servers []struct {
 					Leaving bool `json:"leaving"`
--- a/tests/platform_server_limit_test.go
+++ b/tests/platform_server_limit_test.go
@@ -43,7 +43,7 @@
 func (p *wordSite) limit(servers []string, limit string) string {
 	p.t.Helper()
 	for _, name := range servers {
-		p.setFaults(p.backend[name], standin.RoutedFaults{Limit: limit})
+		p.setFaults(p.backends[name], standin.RoutedFaults{Limit: limit})
 		delete(p.limits, name)
 		delete(p.from, name)
 		var n float64
@@ -59,7 +59,7 @@
 func (p *wordSite) told(fronts, servers []string, target, limit string) string {
 	p.t.Helper()
 	for _, front := range fronts {
-		p.until(front+" is told of the limits", func() bool {
+		p.waitFor(front+" is told of the limits", func() bool {
 			p.callAtOnce(front, target)
 			return p.knows(front, servers, limit)
 		})
--- a/tests/platform_server_words_test.go
+++ b/tests/platform_server_words_test.go
@@ -68,7 +68,7 @@
 func (p *wordSite) leave(servers []string) string {
 	p.t.Helper()
 	for _, name := range servers {
-		p.setFaults(p.backend[name], standin.RoutedFaults{Leaving: true})
+		p.setFaults(p.backends[name], standin.RoutedFaults{Leaving: true})
 	}
 	return "said\n"
 }
@@ -78,7 +78,7 @@
 	p.t.Helper()
 	for _, front := range fronts {
 		for _, server := range servers {
-			p.until(fmt.Sprintf("%s has passed on that %s leaves", front, server), func() bool {
+			p.waitFor(fmt.Sprintf("%s has passed on that %s leaves", front, server), func() bool {
 				p.callAtOnce(front, target)
 				return !p.passed[frontServer{front, server}].IsZero()
 			})
@@ -91,7 +91,7 @@
 func (p *wordSite) knowLeaving(fronts, servers []string) string {
 	p.t.Helper()
 	for _, front := range fronts {
-		p.until(front+" knows who leaves", func() bool { return p.knowsLeaving(front, servers) })
+		p.waitFor(front+" knows who leaves", func() bool { return p.knowsLeaving(front, servers) })
 	}
 	return "known\n"
 }
@@ -122,7 +122,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	late := 0
-	for name := range p.backend {
+	for name := range p.backends {
 		for _, one := range p.arrivals(name) {
 			since := p.passed[frontServer{frontOf(one.ID), name}]
 			if after := p.sent[one.ID].Sub(since); !since.IsZero() && after > leaveBound {
@@ -138,7 +138,7 @@
 func (p *wordSite) rest(servers []string, lasts time.Duration) string {
 	p.t.Helper()
 	for _, name := range servers {
-		p.setFaults(p.backend[name], standin.RoutedFaults{Rest: lasts.Seconds()})
+		p.setFaults(p.backends[name], standin.RoutedFaults{Rest: lasts.Seconds()})
 	}
 	return "said\n"
 }
@@ -148,7 +148,7 @@
 func (p *wordSite) rested() string {
 	p.t.Helper()
 	var out strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(p.backend)) {
+	for _, name := range slices.Sorted(maps.Keys(p.backends)) {
 		arrivals := p.arrivals(name)
 		asked, served, most := false, 0, 0
 		for i, one := range arrivals {
@@ -185,7 +185,7 @@
 	p.t.Helper()
 	p.rest(servers, lasts)
 	var r callResult
-	p.until("a caller is refused for the rest of all servers", func() bool {
+	p.waitFor("a caller is refused for the rest of all servers", func() bool {
 		r = p.call(front, target)
 		return r.status == http.StatusServiceUnavailable && r.retryAfter > lasts/2
 	})
--- a/tests/platform_site_test.go
+++ b/tests/platform_site_test.go
@@ -61,8 +61,8 @@
 // newBarePlatformSite starts only a store.
 func newBarePlatformSite(t testing.TB) *platformSite {
 	t.Helper()
-	p := &platformSite{site: &site{t: t, dir: t.TempDir(), backend: map[string]*process{}}, fronts: map[string]*process{}}
-	p.store = start(t, "store", "standin", "store")
+	p := &platformSite{site: &site{t: t, dir: t.TempDir(), backends: map[string]*process{}}, fronts: map[string]*process{}}
+	p.store = startProcess(t, "store", "standin", "store")
 	return p
 }
 
@@ -104,7 +104,7 @@
 // addServer starts a backend server, named after its service, and lists it.
 func (p *platformSite) addServer(name string, args ...string) {
 	p.t.Helper()
-	p.backend[name] = start(p.t, name, "standin", append([]string{"routed", "--instance", name}, args...)...)
+	p.backends[name] = startProcess(p.t, name, "standin", append([]string{"routed", "--instance", name}, args...)...)
 	p.listServer(name, "ready")
 }
 
@@ -131,7 +131,7 @@
 
 func (p *platformSite) startFront(name string) {
 	p.t.Helper()
-	p.fronts[name] = start(p.t, name, "runworks", "front", "--settings", p.settings(name, p.frontSettings(name)))
+	p.fronts[name] = startProcess(p.t, name, "runworks", "front", "--settings", p.settingsFile(name, p.frontSettings(name)))
 }
 
 // startAll starts fronts at once and waits until the balancer would send callers.
@@ -141,7 +141,7 @@
 		p.startFront(name)
 	}
 	for _, name := range names {
-		p.until(name+" is ready", func() bool { return p.ready(name) == http.StatusOK })
+		p.waitFor(name+" is ready", func() bool { return p.ready(name) == http.StatusOK })
 	}
 	return "ready\n"
 }
@@ -153,7 +153,7 @@
 		p.fronts[name].signal(syscall.SIGKILL)
 	}
 	for _, name := range names {
-		p.fronts[name].waitEnd()
+		p.fronts[name].waitExit()
 	}
 	return "ended\n"
 }
@@ -166,13 +166,13 @@
 // waitReady waits until a front is ready and knows all fronts and servers.
 func (p *platformSite) waitReady(name string, fronts int) {
 	p.t.Helper()
-	p.until(name+" is ready", func() bool {
+	p.waitFor(name+" is ready", func() bool {
 		var status struct {
 			Fronts  int               `json:"fronts"`
 			Servers []json.RawMessage `json:"servers"`
 		}
 		return p.ready(name) == http.StatusOK && getJSON("http://"+p.fronts[name].address("operators")+"/status", &status) &&
-			status.Fronts == fronts && len(status.Servers) == len(p.backend)
+			status.Fronts == fronts && len(status.Servers) == len(p.backends)
 	})
 }
 
@@ -228,7 +228,7 @@
 func (p *platformSite) calls(server string) []standin.RoutedCall {
 	p.t.Helper()
 	var out []standin.RoutedCall
-	if !getJSON("http://"+p.backend[server].address("standin")+"/calls", &out) {
+	if !getJSON("http://"+p.backends[server].address("standin")+"/calls", &out) {
 		p.t.Fatalf("%s does not tell its calls", server)
 	}
 	return out
--- a/tests/platform_test.go
+++ b/tests/platform_test.go
@@ -34,9 +34,9 @@
 func TestPlatformCalls(t *testing.T) {
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1", "front-2")
-	p.setFaults(p.backend["app-1"], standin.RoutedFaults{TurnAway: 4, Surplus: 6})
-	p.setFaults(p.backend["app-2"], standin.RoutedFaults{Surplus: 3})
-	p.setFaults(p.backend["llm-1"], standin.RoutedFaults{TurnAway: 3})
+	p.setFaults(p.backends["app-1"], standin.RoutedFaults{TurnAway: 4, Surplus: 6})
+	p.setFaults(p.backends["app-2"], standin.RoutedFaults{Surplus: 3})
+	p.setFaults(p.backends["llm-1"], standin.RoutedFaults{TurnAway: 3})
 	const calls = 200
 	var wg sync.WaitGroup
 	for i := range calls {
@@ -44,7 +44,7 @@
 	}
 	wg.Wait()
 	ran := map[string]int{}
-	for name := range p.backend {
+	for name := range p.backends {
 		for _, one := range p.calls(name) {
 			ran[one.ID]++
 			is.Equal(one.Header.Get("X-Credential"), "")          // the key stays here
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1")
 	for _, name := range []string{"app-1", "app-2"} {
-		p.setFaults(p.backend[name], standin.RoutedFaults{Unframed: 1})
+		p.setFaults(p.backends[name], standin.RoutedFaults{Unframed: 1})
 	}
 	res, _, err := p.do("front-1", platformCall{id: "cut", method: http.MethodPost, target: "/once/cut", key: "yard-key"})
 	is.NoErr(err)
@@ -110,7 +110,7 @@
 	is.Equal(res.StatusCode, http.StatusOK) // repeatable: the other server answers, or this one again
 	is.Equal(string(data), string(standin.RoutedAnswer("again", http.MethodGet, "/safe/again", nil)))
 	for _, name := range []string{"llm-1", "llm-2"} {
-		p.setFaults(p.backend[name], standin.RoutedFaults{BreakAt: 4, Breaks: 1})
+		p.setFaults(p.backends[name], standin.RoutedFaults{BreakAt: 4, Breaks: 1})
 	}
 	_, data, err = p.do("front-1", platformCall{id: "stream", method: http.MethodPost, target: "/chat/1?events=6", key: "yard-key"})
 	is.True(err != nil) // the answer must not look whole
@@ -165,8 +165,8 @@
 	p.addServer("app-1")
 	p.setFaults(p.store, standin.StoreFaults{Down: true})
 	p.startFront("front-1")
-	p.until("the loss of the store is logged", func() bool {
-		return strings.Contains(p.fronts["front-1"].text(), `"@message":"dependency lost"`)
+	p.waitFor("the loss of the store is logged", func() bool {
+		return strings.Contains(p.fronts["front-1"].outputText(), `"@message":"dependency lost"`)
 	})
 	is.Equal(p.ready("front-1"), http.StatusServiceUnavailable)
 	c := platformCall{id: "early", method: http.MethodGet, target: "/safe/1", key: "yard-key"}
@@ -179,8 +179,8 @@
 	res, _, err = p.do("front-1", c)
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK)
-	p.until("the store's return is logged", func() bool {
-		return strings.Contains(p.fronts["front-1"].text(), `"@message":"dependency regained"`)
+	p.waitFor("the store's return is logged", func() bool {
+		return strings.Contains(p.fronts["front-1"].outputText(), `"@message":"dependency regained"`)
 	})
 }
 
@@ -192,15 +192,15 @@
 	p := newPlatformSite(t, "front-1", "front-2")
 	front := p.fronts["front-1"]
 	p.put("keyed.op", "config", []byte("{not json"))
-	p.until("the refusal is logged", func() bool { return strings.Count(front.text(), "routing refused") == 1 })
+	p.waitFor("the refusal is logged", func() bool { return strings.Count(front.outputText(), "routing refused") == 1 })
 	p.put("keyed.op", "config", []byte(`{"version": 2, "routes": [{"name": "r", "pathPrefix": "/safe/", "kind": "safe", "service": "nowhere"}]}`))
-	p.until("the refusal is logged", func() bool { return strings.Count(front.text(), "routing refused") == 2 })
+	p.waitFor("the refusal is logged", func() bool { return strings.Count(front.outputText(), "routing refused") == 2 })
 	c := platformCall{id: "in-force", method: http.MethodGet, target: "/safe/1", key: "yard-key"}
 	res, _, err := p.do("front-1", c)
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK) // the document in force stays
 	p.listServer("app-1", "draining")
-	p.until("the leaving is logged", func() bool { return strings.Contains(front.text(), "backend server leaves") })
+	p.waitFor("the leaving is logged", func() bool { return strings.Contains(front.outputText(), "backend server leaves") })
 	before := len(p.calls("app-1"))
 	for i := range 20 {
 		c.id = fmt.Sprintf("after-%d", i)
@@ -211,7 +211,7 @@
 	document := strings.ReplaceAll(fmt.Sprintf(platformDocument, 3), "yard-key", "new-key")
 	p.put("keyed.op", "config", []byte(document))
 	for _, name := range []string{"front-1", "front-2"} {
-		p.until("the key is refused at "+name, func() bool {
+		p.waitFor("the key is refused at "+name, func() bool {
 			res, _, err := p.do(name, c)
 			return err == nil && res.StatusCode == http.StatusUnauthorized
 		})
@@ -238,16 +238,16 @@
 			}
 		})
 	}
-	p.until("the streams run", func() bool { return len(p.calls("llm-1")) == 5 })
+	p.waitFor("the streams run", func() bool { return len(p.calls("llm-1")) == 5 })
 	p.fronts["front-1"].signal(syscall.SIGTERM)
-	p.until("the front is red", func() bool { return p.ready("front-1") == http.StatusServiceUnavailable })
+	p.waitFor("the front is red", func() bool { return p.ready("front-1") == http.StatusServiceUnavailable })
 	res, _, err := p.do("front-1", platformCall{id: "late", method: http.MethodGet, target: "/safe/1", key: "yard-key"})
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK)
 	is.True(res.Close) // the caller is asked to leave
 	wg.Wait()
-	p.fronts["front-1"].waitEnd()
-	is.True(strings.Contains(p.fronts["front-1"].text(), `"@message":"stopped"`))
+	p.fronts["front-1"].waitExit()
+	is.True(strings.Contains(p.fronts["front-1"].outputText(), `"@message":"stopped"`))
 }
 
 // TestPlatformReload changes the settings file: bad settings leave those in force,
@@ -258,10 +258,10 @@
 	good := p.frontSettings("front-1")
 	p.writeSettings("front-1", good+"retry_ratio: 7\n")
 	front.signal(syscall.SIGHUP)
-	p.until("the refusal is logged", func() bool { return strings.Contains(front.text(), "settings refused") })
+	p.waitFor("the refusal is logged", func() bool { return strings.Contains(front.outputText(), "settings refused") })
 	p.writeSettings("front-1", good+"retry_ratio: 0.3\n")
 	front.signal(syscall.SIGHUP)
-	p.until("the reading is logged", func() bool { return strings.Contains(front.text(), "settings read again") })
+	p.waitFor("the reading is logged", func() bool { return strings.Contains(front.outputText(), "settings read again") })
 	if p.ready("front-1") != http.StatusOK {
 		t.Error("the front is not ready any more")
 	}
@@ -289,7 +289,7 @@
 	is.NoErr(err)
 	is.NoErr(res.Body.Close())
 	left := time.Now()
-	p.until("the server's work ends", func() bool {
+	p.waitFor("the server's work ends", func() bool {
 		var status struct {
 			Servers []struct {
 				Own int `json:"own"`
@@ -310,7 +310,7 @@
 	p.addServer("app-1")
 	p.addServer("llm-1", "--delay", "10ms")
 	text := strings.Replace(p.frontSettings("front-1"), "stop_notice: 1s\n", "", 1)
-	p.fronts["front-1"] = start(t, "front-1", "runworks", "front", "--settings", p.settings("front-1", text))
+	p.fronts["front-1"] = startProcess(t, "front-1", "runworks", "front", "--settings", p.settingsFile("front-1", text))
 	p.waitReady("front-1", 1)
 	// A front with nothing under way ends at once: one long stream keeps it answering.
 	held := make(chan struct{})
@@ -318,7 +318,7 @@
 		defer close(held)
 		_, _, _ = p.do("front-1", platformCall{id: "held", method: http.MethodPost, target: "/chat/held?events=380", key: "yard-key"})
 	}()
-	p.until("the long stream runs", func() bool { return len(p.calls("llm-1")) == 1 })
+	p.waitFor("the long stream runs", func() bool { return len(p.calls("llm-1")) == 1 })
 	p.fronts["front-1"].signal(syscall.SIGTERM)
 	signalled := time.Now()
 	var last time.Duration
@@ -336,5 +336,5 @@
 	is.True(last > 2*time.Second)
 	is.True(last < 2800*time.Millisecond)
 	<-held
-	p.fronts["front-1"].waitEnd()
+	p.fronts["front-1"].waitExit()
 }
--- a/tests/platform_word_site_test.go
+++ b/tests/platform_word_site_test.go
@@ -105,7 +105,7 @@
 func (p *wordSite) arrivals(server string) []standin.RoutedArrival {
 	p.t.Helper()
 	var out []standin.RoutedArrival
-	if !getJSON("http://"+p.backend[server].address("standin")+"/arrivals", &out) {
+	if !getJSON("http://"+p.backends[server].address("standin")+"/arrivals", &out) {
 		p.t.Fatalf("%s does not tell its arrivals", server)
 	}
 	return out
@@ -157,7 +157,7 @@
 // that come one after the other.
 func (p *wordSite) callAtOnce(front, target string) {
 	var wg sync.WaitGroup
-	for range 2 * len(p.backend) {
+	for range 2 * len(p.backends) {
 		wg.Go(func() { p.call(front, target) })
 	}
 	wg.Wait()
--- a/tests/process_failure_test.go
+++ b/tests/process_failure_test.go
@@ -22,8 +22,8 @@
 	{name: "app-1", plain: true, slots: 16},
 }
 
-// refusedPause bounds how often a dead entry is tried.
-const refusedPause = 50 * time.Millisecond
+// retryPause bounds how often a dead entry is tried.
+const retryPause = 50 * time.Millisecond
 
 // processLoad makes calls through the entries until it is ended.
 type processLoad struct {
@@ -48,12 +48,12 @@
 				entry := s.entries[entries[i%len(entries)]].address("callers")
 				c := &completionCall{Entry: entry, Key: "site-key", Model: "site-model", Prompt: prompt(i), MaxTokens: 20 + i%200, Stream: i%2 == 0}
 				c.Header = map[string]string{runworks.HeaderTimeout: "20s"}
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
+				ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 				r := c.do(ctx, client)
 				cancel()
 				l.h.add(c, r)
 				if r.Err != nil && r.Status == 0 {
-					time.Sleep(refusedPause)
+					time.Sleep(retryPause)
 				}
 			}
 		})
@@ -61,8 +61,8 @@
 	return l
 }
 
-// end stops the load and checks the history against what the engines counted.
-func (l *processLoad) end(t *testing.T) map[string]int {
+// stopAndCheck stops the load and checks the history against what the engines counted.
+func (l *processLoad) stopAndCheck(t *testing.T) map[string]int {
 	t.Helper()
 	close(l.stop)
 	l.calls.Wait()
@@ -75,8 +75,8 @@
 	return counts
 }
 
-// done waits until the load has n whole answers more than now.
-func (l *processLoad) done(n int) {
+// waitAnswers waits until the load has n whole answers more than now.
+func (l *processLoad) waitAnswers(n int) {
 	l.s.t.Helper()
 	count := func() int {
 		l.h.mu.Lock()
@@ -90,7 +90,7 @@
 		return whole
 	}
 	before := count()
-	l.s.until("calls go on being answered", func() bool { return count() >= before+n })
+	l.s.waitFor("calls go on being answered", func() bool { return count() >= before+n })
 }
 
 // TestProcessesKilled kills an agent under load, and later an entry, and starts
@@ -99,17 +99,17 @@
 	is := is.New(t)
 	s := newSite(t, twoEngines, []string{"entry-1", "entry-2"})
 	load := newProcessLoad(s, "entry-1", "entry-2")
-	load.done(20)
+	load.waitAnswers(20)
 	s.agents["one"].signal(syscall.SIGKILL)
-	s.agents["one"].waitEnd()
-	load.done(40)
+	s.agents["one"].waitExit()
+	load.waitAnswers(40)
 	s.startAgent("one")
 	s.waitConnected("entry-1", len(twoEngines))
-	load.done(40)
+	load.waitAnswers(40)
 	s.entries["entry-2"].signal(syscall.SIGKILL)
-	s.entries["entry-2"].waitEnd()
-	load.done(40)
-	counts := load.end(t)
+	s.entries["entry-2"].waitExit()
+	load.waitAnswers(40)
+	counts := load.stopAndCheck(t)
 	is.True(counts["done"] > 140)
 }
 
@@ -119,26 +119,26 @@
 	is := is.New(t)
 	s := newSite(t, twoEngines, []string{"entry-1", "entry-2"})
 	load := newProcessLoad(s, "entry-1")
-	load.done(20)
+	load.waitAnswers(20)
 	s.agents["one"].signal(syscall.SIGTERM)
-	s.agents["one"].waitEnd()
+	s.agents["one"].waitExit()
 	is.Equal(s.agents["one"].cmd.ProcessState.ExitCode(), 0)
-	load.done(20)
-	counts := load.end(t)
+	load.waitAnswers(20)
+	counts := load.stopAndCheck(t)
 	is.Equal(len(counts), 1) // all done
 
 	one := &completionCall{Entry: s.entries["entry-1"].address("callers"), Key: "site-key", Model: "site-model", Prompt: prompt(1), MaxTokens: 500, Stream: true}
 	answered := make(chan error)
 	go func() { answered <- one.check(context.Background(), http.DefaultClient) }()
-	s.until("the call is in flight", func() bool { return s.requests("entry-1") == 1 })
+	s.waitFor("the call is in flight", func() bool { return s.inFlight("entry-1") == 1 })
 	s.entries["entry-1"].signal(syscall.SIGTERM)
 	is.NoErr(<-answered)
-	s.entries["entry-1"].waitEnd()
+	s.entries["entry-1"].waitExit()
 	is.Equal(s.entries["entry-1"].cmd.ProcessState.ExitCode(), 0)
 }
 
-// requests gives the requests that an entry has in flight.
-func (s *site) requests(entry string) int {
+// inFlight gives the inFlight that an entry has in flight.
+func (s *site) inFlight(entry string) int {
 	var status struct {
 		Requests int `json:"requests"`
 	}
@@ -153,14 +153,14 @@
 func TestProcessesFrozenAgent(t *testing.T) {
 	s := newSite(t, twoEngines, []string{"entry-1", "entry-2"})
 	load := newProcessLoad(s, "entry-1", "entry-2")
-	load.done(20)
+	load.waitAnswers(20)
 	s.agents["one"].signal(syscall.SIGSTOP)
 	frozen := time.Now()
-	load.done(20)
-	s.until("every grant has lapsed", func() bool { return time.Since(frozen) > 2*control.GrantTimeout })
+	load.waitAnswers(20)
+	s.waitFor("every grant has lapsed", func() bool { return time.Since(frozen) > 2*control.GrantTimeout })
 	s.agents["one"].signal(syscall.SIGCONT)
-	load.done(100)
-	load.end(t)
+	load.waitAnswers(100)
+	load.stopAndCheck(t)
 }
 
 // TestProcessesKeyedAfterEntryDeath kills the entry that runs a keyed call; the
@@ -174,7 +174,7 @@
 	}
 	first := make(chan *result)
 	go func() { first <- c.do(context.Background(), http.DefaultClient) }()
-	s.until("an engine runs it", func() bool { return len(s.dispatches()) == 1 })
+	s.waitFor("an engine runs it", func() bool { return len(s.dispatches()) == 1 })
 	s.entries["entry-1"].signal(syscall.SIGKILL)
 	is.True((<-first).Err != nil)
 
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -24,12 +24,12 @@
 
 const (
 	processFleetKey = "process-test-fleet-key"
-	// patience bounds every wait on a condition of a process.
-	patience = 30 * time.Second
+	// waitTimeout bounds every wait on a condition of a process.
+	waitTimeout = 30 * time.Second
 )
 
-// programs builds the two programs once for all tests of processes.
-var programs = sync.OnceValues(func() (string, error) {
+// buildPrograms builds the two buildPrograms once for all tests of processes.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "runworks-programs")
 	if err != nil {
 		return "", err
@@ -54,10 +54,10 @@
 	changed   chan struct{}
 }
 
-// start runs a program and gathers the addresses it says it listens on.
-func start(t testing.TB, name, program string, args ...string) *process {
+// startProcess runs a program and gathers the addresses it says it listens on.
+func startProcess(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,30 +72,30 @@
 		t.Fatal(err)
 	}
 	_ = writer.Close()
-	go p.read(reader)
+	go p.readOutput(reader)
 	t.Cleanup(func() {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Kill()
 		<-p.done
 		if t.Failed() {
-			t.Logf("output of %s:\n%s", name, p.text())
+			t.Logf("output of %s:\n%s", name, p.outputText())
 		}
 	})
 	return p
 }
 
-// read takes the program's lines until it ends.
-func (p *process) read(reader *os.File) {
+// readOutput takes the program's lines until it ends.
+func (p *process) readOutput(reader *os.File) {
 	scanner := bufio.NewScanner(reader)
 	for scanner.Scan() {
-		p.line(scanner.Text())
+		p.handleLine(scanner.Text())
 	}
 	_ = p.cmd.Wait()
 	_ = reader.Close()
 	close(p.done)
 }
 
-func (p *process) line(text string) {
+func (p *process) handleLine(text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.output.WriteString(text + "\n")
@@ -115,7 +115,7 @@
 	}
 }
 
-func (p *process) text() string {
+func (p *process) outputText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.String()
@@ -124,7 +124,7 @@
 // address waits until the program listens for what.
 func (p *process) address(what string) string {
 	p.t.Helper()
-	limit := time.After(patience)
+	limit := time.After(waitTimeout)
 	for {
 		p.mu.Lock()
 		address := p.addresses[what]
@@ -135,9 +135,9 @@
 		select {
 		case <-p.changed:
 		case <-p.done:
-			p.t.Fatalf("%s ended before it listened for %s:\n%s", p.name, what, p.text())
+			p.t.Fatalf("%s ended before it listened for %s:\n%s", p.name, what, p.outputText())
 		case <-limit:
-			p.t.Fatalf("%s does not listen for %s:\n%s", p.name, what, p.text())
+			p.t.Fatalf("%s does not listen for %s:\n%s", p.name, what, p.outputText())
 		}
 	}
 }
@@ -150,25 +150,25 @@
 	}
 }
 
-// waitEnd waits until the program has ended.
-func (p *process) waitEnd() {
+// waitExit waits until the program has ended.
+func (p *process) waitExit() {
 	p.t.Helper()
 	select {
 	case <-p.done:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s does not end", p.name)
 	}
 }
 
 // site is a whole system of separate processes.
 type site struct {
-	t       testing.TB
-	dir     string
-	log     *process
-	hosts   *process
-	backend map[string]*process
-	agents  map[string]*process
-	entries map[string]*process
+	t        testing.TB
+	dir      string
+	log      *process
+	hosts    *process
+	backends map[string]*process
+	agents   map[string]*process
+	entries  map[string]*process
 }
 
 // serverSpec is one backend server of a site, with its stand-in's flags.
@@ -183,9 +183,9 @@
 // entries, and waits until all entries see all agents.
 func newSite(t testing.TB, servers []serverSpec, entries []string) *site {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), backend: map[string]*process{}, agents: map[string]*process{}, entries: map[string]*process{}}
-	s.log = start(t, "log", "standin", "log")
-	s.hosts = start(t, "hosts", "standin", "hosts")
+	s := &site{t: t, dir: t.TempDir(), backends: map[string]*process{}, agents: map[string]*process{}, entries: map[string]*process{}}
+	s.log = startProcess(t, "log", "standin", "log")
+	s.hosts = startProcess(t, "hosts", "standin", "hosts")
 	for _, spec := range servers {
 		kind := "engine"
 		if spec.plain {
@@ -193,7 +193,7 @@
 		} else {
 			spec.args = append(spec.args, "--slots", fmt.Sprint(spec.slots))
 		}
-		s.backend[spec.name] = start(t, spec.name, "standin", append([]string{kind}, spec.args...)...)
+		s.backends[spec.name] = startProcess(t, spec.name, "standin", append([]string{kind}, spec.args...)...)
 	}
 	s.apply(servers)
 	for _, spec := range servers {
@@ -214,22 +214,22 @@
 	var engines, plains strings.Builder
 	for _, spec := range servers {
 		line := fmt.Sprintf("      - {name: %s, hall: a, address: \"http://%s\", slots: %d}\n",
-			spec.name, s.backend[spec.name].address("standin"), spec.slots)
+			spec.name, s.backends[spec.name].address("standin"), spec.slots)
 		if spec.plain {
 			plains.WriteString(line)
 		} else {
 			engines.WriteString(line)
 		}
 	}
-	text := fmt.Sprintf(siteConfig, engines.String(), plains.String(), hashOf("site-key"))
+	text := fmt.Sprintf(siteConfig, engines.String(), plains.String(), sha256Hex("site-key"))
 	file := filepath.Join(s.dir, "site.yaml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
-	apply := start(s.t, "apply", "runworks", "apply", "-f", file, "--log-service", "http://"+s.log.address("standin"))
-	apply.waitEnd()
+	apply := startProcess(s.t, "apply", "runworks", "apply", "-f", file, "--log-service", "http://"+s.log.address("standin"))
+	apply.waitExit()
 	if code := apply.cmd.ProcessState.ExitCode(); code != 0 {
-		s.t.Fatalf("apply ended with %d:\n%s", code, apply.text())
+		s.t.Fatalf("apply ended with %d:\n%s", code, apply.outputText())
 	}
 }
 
@@ -252,7 +252,7 @@
   - {kind: once, services: [llm, app], tier: urgent, not_repeatable: true}
 `
 
-func (s *site) common(name string) string {
+func (s *site) commonSettings(name string) string {
 	return fmt.Sprintf(`name: %s
 hall: a
 listen: 127.0.0.1:0
@@ -264,7 +264,7 @@
 `, name, s.log.address("standin"), processFleetKey)
 }
 
-func (s *site) settings(name, text string) string {
+func (s *site) settingsFile(name, text string) string {
 	s.t.Helper()
 	file := filepath.Join(s.dir, name+".yaml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -276,17 +276,17 @@
 func (s *site) startAgent(server string) {
 	s.t.Helper()
 	name := "host-" + server
-	file := s.settings(name, s.common(name)+"server: "+server+"\nkey_skew: 0s\n")
-	p := start(s.t, name, "runworks", "agent", "--settings", file)
+	file := s.settingsFile(name, s.commonSettings(name)+"server: "+server+"\nkey_skew: 0s\n")
+	p := startProcess(s.t, name, "runworks", "agent", "--settings", file)
 	s.agents[server] = p
 	s.putHost(runworks.Host{Name: name, Role: runworks.RoleAgent, Hall: "a", Address: p.address("entries")})
 }
 
 func (s *site) startEntry(name string) {
 	s.t.Helper()
-	text := s.common(name) + "host_list: http://" + s.hosts.address("standin") + "\nhosts_poll: 100ms\nlist_settle: 0s\nbalancer_delay: 100ms\n"
+	text := s.commonSettings(name) + "host_list: http://" + s.hosts.address("standin") + "\nhosts_poll: 100ms\nlist_settle: 0s\nbalancer_delay: 100ms\n"
 	s.putHost(runworks.Host{Name: name, Role: runworks.RoleEntry, Hall: "a"})
-	s.entries[name] = start(s.t, name, "runworks", "entry", "--settings", s.settings(name, text))
+	s.entries[name] = startProcess(s.t, name, "runworks", "entry", "--settings", s.settingsFile(name, text))
 }
 
 func (s *site) putHost(h runworks.Host) {
@@ -306,11 +306,11 @@
 	_ = res.Body.Close()
 }
 
-// until waits for a condition of the processes.
-func (s *site) until(what string, holds func() bool) {
+// waitFor waits for a condition of the processes.
+func (s *site) waitFor(what string, cond func() bool) {
 	s.t.Helper()
-	limit := time.Now().Add(patience)
-	for !holds() {
+	limit := time.Now().Add(waitTimeout)
+	for !cond() {
 		if time.Now().After(limit) {
 			s.t.Fatalf("waited in vain: %s", what)
 		}
@@ -331,7 +331,7 @@
 func (s *site) waitConnected(entry string, agents int) {
 	s.t.Helper()
 	url := "http://" + s.entries[entry].address("operators")
-	s.until(entry+" sees its agents", func() bool {
+	s.waitFor(entry+" sees its agents", func() bool {
 		var status struct {
 			Version int64 `json:"version"`
 			Agents  []struct {
@@ -352,7 +352,7 @@
 		return n == agents
 	})
 	for server, p := range s.agents {
-		s.until(server+" is configured", func() bool {
+		s.waitFor(server+" is configured", func() bool {
 			var status struct {
 				Slots int `json:"slots"`
 			}
@@ -365,7 +365,7 @@
 func (s *site) dispatches() map[runworks.RequestID]int {
 	s.t.Helper()
 	sum := map[runworks.RequestID]int{}
-	for name, p := range s.backend {
+	for name, p := range s.backends {
 		var stats standin.EngineStats
 		if name == "app-1" || !getJSON("http://"+p.address("standin")+"/stats", &stats) {
 			continue
@@ -377,25 +377,25 @@
 	return sum
 }
 
-var threeUnlike = []serverSpec{
+var heterogeneousServers = []serverSpec{
 	{name: "old", slots: 4, args: []string{"--prefill", "20000", "--decode", "400"}},
 	{name: "new", slots: 8, args: []string{"--prefill", "80000", "--decode", "2000"}},
 	{name: "mid", slots: 6, args: []string{"--prefill", "40000", "--decode", "1000"}},
 	{name: "app-1", plain: true, slots: 16},
 }
 
-// TestProcessesWholePath sends 200 concurrent calls of mixed length through two
+// TestProcessesEndToEnd sends 200 concurrent calls of mixed length through two
 // entries and checks every answer against its own prompt.
-func TestProcessesWholePath(t *testing.T) {
+func TestProcessesEndToEnd(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, threeUnlike, []string{"entry-1", "entry-2"})
+	s := newSite(t, heterogeneousServers, []string{"entry-1", "entry-2"})
 	const calls = 200
 	errs := make(chan error, calls)
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	defer cancel()
 	for i := range calls {
 		entry := s.entries[fmt.Sprintf("entry-%d", 1+i%2)].address("callers")
-		go func() { errs <- wholePathCall(ctx, entry, i) }()
+		go func() { errs <- endToEndCall(ctx, entry, i) }()
 	}
 	for range calls {
 		is.NoErr(<-errs)
@@ -407,9 +407,9 @@
 	}
 }
 
-// wholePathCall makes the i-th call: one in ten to the plain service, one in
+// endToEndCall makes the i-th call: one in ten to the plain service, one in
 // ten a hundred times longer, half of them streamed.
-func wholePathCall(ctx context.Context, entry string, i int) error {
+func endToEndCall(ctx context.Context, entry string, i int) error {
 	if i%10 == 9 {
 		return plainCall(ctx, http.DefaultClient, entry, fmt.Sprintf("alarm %d", i))
 	}
--- a/tests/retry_test.go
+++ b/tests/retry_test.go
@@ -28,7 +28,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, smallWorld)
+				w := newSimCluster(t, smallSpec)
 				defer w.close()
 				for _, p := range w.plains {
 					p.SetBroken(true)
@@ -63,7 +63,7 @@
 func TestDeadServerIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, smallWorld)
+		w := newSimCluster(t, smallSpec)
 		defer w.close()
 		w.net.CloseListener("host-p1:80")
 		w.net.Reset("host-p1", "host-p1")
@@ -78,12 +78,12 @@
 	})
 }
 
-// TestHopelessRequestIsAnsweredAtOnce asks for far more than fits into its time
+// TestUnattainableDeadlineFailsAtOnce asks for far more than fits into its time
 // limit, once the agents know their rates: the final answer comes at once.
-func TestHopelessRequestIsAnsweredAtOnce(t *testing.T) {
+func TestUnattainableDeadlineFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, sweepWorld)
+		w := newSimCluster(t, sweepSpec)
 		defer w.close()
 		for i := range 20 {
 			is.NoErr(w.call("entry-1", i, 100).check(t.Context(), w.client()))
@@ -110,7 +110,7 @@
 	for _, stream := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, sweepWorld)
+			w := newSimCluster(t, sweepSpec)
 			defer w.close()
 			c := w.call("entry-1", 1, 1000)
 			c.Stream = stream
--- a/tests/schedule_test.go
+++ b/tests/schedule_test.go
@@ -19,8 +19,8 @@
 const (
 	scheduleTime  = 60 * time.Second
 	scheduleCalls = 80
-	// inForceWithin is how soon a configuration must be in force everywhere.
-	inForceWithin = 19 * time.Second
+	// activeWithin is how soon a configuration must be in force everywhere.
+	activeWithin = 19 * time.Second
 )
 
 // TestSchedules runs random schedules of failures under load, and checks each
@@ -54,15 +54,15 @@
 // schedule is one random run.
 type schedule struct {
 	t      *testing.T
-	w      *world
+	w      *simCluster
 	random *rand.Rand
 	h      *history
 	calls  sync.WaitGroup
 	faults sync.WaitGroup
 	// names of parts, in a fixed order.
-	servers []string
-	entries []string
-	done    []string
+	servers  []string
+	entries  []string
+	injected []string
 }
 
 func runSchedule(t *testing.T, seed uint64) *history {
@@ -70,7 +70,7 @@
 	s := &schedule{t: t, random: rand.New(rand.NewPCG(seed, 1)), h: &history{}} //nolint:gosec // a seed is wanted
 	synctest.Test(t, func(t *testing.T) {
 		s.t = t
-		s.w = newWorld(t, smallWorld)
+		s.w = newSimCluster(t, smallSpec)
 		defer s.w.close()
 		s.servers = []string{"e1", "e2", "e3", "p1", "p2"}
 		s.entries = []string{"entry-1", "entry-2"}
@@ -82,11 +82,11 @@
 		s.faults.Wait()
 		s.w.log.SetFaults(standin.Faults{})
 		time.Sleep(time.Minute)
-		watch.converged()
+		watch.checkConverged()
 		watch.end()
 		s.h.check(t, s.w)
 		if t.Failed() {
-			t.Logf("seed %d, faults %q", seed, s.done)
+			t.Logf("seed %d, faults %q", seed, s.injected)
 		}
 	})
 	return s.h
@@ -223,12 +223,12 @@
 		f := faults[s.random.IntN(len(faults))]
 		at := time.Duration(s.random.Int64N(int64(scheduleTime)))
 		pick := rand.New(rand.NewPCG(s.random.Uint64(), 2)) //nolint:gosec // a seed is wanted
-		s.done = append(s.done, fmt.Sprintf("%s at %s", f.name, at))
+		s.injected = append(s.injected, fmt.Sprintf("%s at %s", f.name, at))
 		exclusive := f.name == "kill agent" || f.name == "kill entry" || f.name == "leave"
 		s.faults.Go(func() {
 			time.Sleep(at)
 			if exclusive {
-				lockInBubble(&one)
+				lockInVirtualTime(&one)
 				defer one.Unlock()
 			}
 			f.run(s, pick)
@@ -236,15 +236,15 @@
 	}
 }
 
-// lockInBubble takes a lock in virtual time, which a plain wait for it stops.
-func lockInBubble(mu *sync.Mutex) {
+// lockInVirtualTime takes a lock in virtual time, which a plain wait for it stops.
+func lockInVirtualTime(mu *sync.Mutex) {
 	for !mu.TryLock() {
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
 // stopAgent stops an agent as planned and waits for its end.
-func (w *world) stopAgent(server string) {
+func (w *simCluster) stopAgent(server string) {
 	w.mu.Lock()
 	r := w.agents[server]
 	w.mu.Unlock()
@@ -256,21 +256,21 @@
 // that all come to the newest.
 type versionWatch struct {
 	t    *testing.T
-	w    *world
+	w    *simCluster
 	stop chan struct{}
-	gone chan struct{}
+	done chan struct{}
 	seen map[*config.Follower]int64
 }
 
-func newVersionWatch(t *testing.T, w *world) *versionWatch {
+func newVersionWatch(t *testing.T, w *simCluster) *versionWatch {
 	t.Helper()
-	v := &versionWatch{t: t, w: w, stop: make(chan struct{}), gone: make(chan struct{}), seen: map[*config.Follower]int64{}}
+	v := &versionWatch{t: t, w: w, stop: make(chan struct{}), done: make(chan struct{}), seen: map[*config.Follower]int64{}}
 	go v.run()
 	return v
 }
 
 func (v *versionWatch) run() {
-	defer close(v.gone)
+	defer close(v.done)
 	for {
 		select {
 		case <-v.stop:
@@ -292,20 +292,20 @@
 	defer v.w.mu.Unlock()
 	var out []*config.Follower
 	for _, a := range v.w.agents {
-		if started(a.part.Started) {
-			out = append(out, a.part.Config)
+		if isStarted(a.daemon.Started) {
+			out = append(out, a.daemon.Config)
 		}
 	}
 	for _, e := range v.w.entries {
-		if started(e.part.Started) {
-			out = append(out, e.part.Config)
+		if isStarted(e.daemon.Started) {
+			out = append(out, e.daemon.Config)
 		}
 	}
 	return out
 }
 
-// converged checks that every process has the newest version in force.
-func (v *versionWatch) converged() {
+// checkConverged checks that every process has the newest version in force.
+func (v *versionWatch) checkConverged() {
 	newest, _, err := config.Latest(context.Background(), v.w.log)
 	if err != nil {
 		v.t.Error(err)
@@ -319,5 +319,5 @@
 
 func (v *versionWatch) end() {
 	close(v.stop)
-	<-v.gone
+	<-v.done
 }
--- a/tests/world_basic_test.go
+++ b/tests/sim_cluster_basic_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// TestWorldAnswers sends calls through both entries in virtual time.
-func TestWorldAnswers(t *testing.T) {
+// TestSimClusterAnswers sends calls through both entries in virtual time.
+func TestSimClusterAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, smallWorld)
+		w := newSimCluster(t, smallSpec)
 		defer w.close()
 		errs := make(chan error)
 		for i := range 40 {
--- a/tests/world_test.go
+++ b/tests/sim_cluster_test.go
@@ -22,20 +22,20 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// settle is longer than any time that a closed connection is waited for.
-const settle = 30 * time.Second
+// connCloseTime is longer than any time that a closed connection is waited for.
+const connCloseTime = 30 * time.Second
 
 const (
-	worldKey   = "world-key"
-	worldModel = "world-model"
-	worldFleet = "world-fleet-key-0123"
+	simKey      = "world-key"
+	simModel    = "world-model"
+	simFleetKey = "world-fleet-key-0123"
 )
 
-// world is a whole system in one bubble of virtual time: the real entries and
+// simCluster is a whole system in one bubble of virtual time: the real entries and
 // agents, over a network in memory, with stand-ins.
-type world struct {
+type simCluster struct {
 	t    *testing.T
-	spec worldSpec
+	spec simSpec
 	// fakes are the engines of a measurement.
 	fakes map[string]*fakeEngine
 	net   *memnet.Network
@@ -48,19 +48,19 @@
 	mu      sync.Mutex
 	engines map[string]*standin.Engine
 	plains  map[string]*standin.Plain
-	agents  map[string]*running[*daemon.Agent]
-	entries map[string]*running[*daemon.Entry]
-	work    sync.WaitGroup
+	agents  map[string]*instance[*daemon.Agent]
+	entries map[string]*instance[*daemon.Entry]
+	wg      sync.WaitGroup
 	servers []*http.Server
 	clients []*http.Transport
 }
 
-// running is a part that runs, with the means to stop and to kill it.
-type running[T any] struct {
-	part T
-	kill context.CancelFunc
-	stop chan struct{}
-	done chan struct{}
+// instance is a part that runs, with the means to stop and to kill it.
+type instance[T any] struct {
+	daemon T
+	kill   context.CancelFunc
+	stop   chan struct{}
+	done   chan struct{}
 }
 
 // engineSpec is one stand-in engine of a world.
@@ -71,8 +71,8 @@
 	prefill, decode float64
 }
 
-// worldSpec says what a world is made of.
-type worldSpec struct {
+// simSpec says what a world is made of.
+type simSpec struct {
 	engines []engineSpec
 	plains  []string
 	entries []string
@@ -82,8 +82,8 @@
 	maxWaiting int
 	// connect is the way to the engines; nil is HTTP to the stand-ins.
 	connect func(server string) runworks.Backend
-	// beatEvery is the time between load reports; 0 is the default.
-	beatEvery time.Duration
+	// heartbeatInterval is the time between load reports; 0 is the default.
+	heartbeatInterval time.Duration
 	// picker chooses who gets the first ticket; nil is the default.
 	picker runworks.Picker
 	// onShed is told of each request that is shed.
@@ -92,22 +92,22 @@
 	edit func(*runworks.Config)
 }
 
-var smallWorld = worldSpec{
+var smallSpec = simSpec{
 	engines: []engineSpec{{"e1", 2, 4000, 40}, {"e2", 4, 8000, 80}, {"e3", 4, 16000, 160}},
 	plains:  []string{"p1", "p2"},
 	entries: []string{"entry-1", "entry-2"},
 	latency: 500 * time.Microsecond,
 }
 
-// newWorld starts a world and waits until it is connected. Call close.
-func newWorld(t *testing.T, spec worldSpec) *world {
+// newSimCluster starts a world and waits until it is connected. Call close.
+func newSimCluster(t *testing.T, spec simSpec) *simCluster {
 	t.Helper()
-	w := &world{
+	w := &simCluster{
 		t: t, spec: spec, net: memnet.New(spec.latency), log: &standin.Log{}, hosts: &standin.Hosts{}, tracer: spec.tracer,
 		engines: map[string]*standin.Engine{}, plains: map[string]*standin.Plain{},
-		agents: map[string]*running[*daemon.Agent]{}, entries: map[string]*running[*daemon.Entry]{},
+		agents: map[string]*instance[*daemon.Agent]{}, entries: map[string]*instance[*daemon.Entry]{},
 	}
-	w.cfg = worldConfig(spec)
+	w.cfg = simConfig(spec)
 	if spec.edit != nil {
 		spec.edit(w.cfg)
 	}
@@ -132,8 +132,8 @@
 	return w
 }
 
-func worldConfig(spec worldSpec) *runworks.Config {
-	llm := runworks.Service{Name: "llm", Kind: runworks.KindEngine, Models: []string{worldModel}}
+func simConfig(spec simSpec) *runworks.Config {
+	llm := runworks.Service{Name: "llm", Kind: runworks.KindEngine, Models: []string{simModel}}
 	for _, one := range spec.engines {
 		llm.BackendServers = append(llm.BackendServers, runworks.BackendServer{
 			Name: one.name, Hall: "a", Address: "http://host-" + one.name + ":80", Slots: one.slots, Speed: one.decode,
@@ -146,7 +146,7 @@
 			{Name: "normal", Rank: 1, Timeout: 2 * time.Minute},
 			{Name: "batch", Rank: 2, Timeout: 5 * time.Minute},
 		},
-		Customers: []runworks.Customer{{Name: "tester", KeySHA256: []string{hashOf(worldKey)}}},
+		Customers: []runworks.Customer{{Name: "tester", KeySHA256: []string{sha256Hex(simKey)}}},
 		Rules: []runworks.Rule{
 			{Services: []string{"llm"}, Tier: "urgent"},
 			{Kind: "once", Services: []string{"llm"}, Tier: "urgent", NotRepeatable: true},
@@ -170,51 +170,51 @@
 }
 
 // serve runs a handler at a port of a host until the world closes.
-func (w *world) serve(host, port string, handler http.Handler) {
+func (w *simCluster) serve(host, port string, handler http.Handler) {
 	listener, err := w.net.Listen(host + ":" + port)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	server := &http.Server{Handler: handler}
 	w.servers = append(w.servers, server)
-	w.work.Go(func() { _ = server.Serve(listener) })
+	w.wg.Go(func() { _ = server.Serve(listener) })
 }
 
-func (w *world) common(name string) setting.Common {
+func (w *simCluster) commonSettings(name string) setting.Common {
 	return setting.Common{
-		Name: name, Hall: "a", Listen: name + ":70", Operators: name + ":71", FleetKeys: []string{worldFleet},
+		Name: name, Hall: "a", Listen: name + ":70", Operators: name + ":71", FleetKeys: []string{simFleetKey},
 		ConfigPoll: time.Second, RepublishInterval: 10 * time.Minute, StopLimit: 15 * time.Minute,
 	}
 }
 
-func (w *world) parts(host string) daemon.Deps {
+func (w *simCluster) deps(host string) daemon.Deps {
 	return daemon.Deps{
-		Log: &farLog{net: w.net, host: host, log: w.log}, Hosts: w.hosts, Dial: w.net.Dialer(host),
+		Log: &remoteLog{net: w.net, host: host, log: w.log}, Hosts: w.hosts, Dial: w.net.Dialer(host),
 		Listen: func(address string) (net.Listener, error) { return w.net.Listen(address) }, Tracer: w.tracer,
 	}
 }
 
-func (w *world) startAgent(server string) {
+func (w *simCluster) startAgent(server string) {
 	host := "host-" + server
 	d := &daemon.Agent{
-		Settings: &setting.Agent{Common: w.common(host), Server: server, KeySkew: time.Second, MaxWaiting: w.spec.maxWaiting},
-		Deps:     w.parts(host),
+		Settings: &setting.Agent{Common: w.commonSettings(host), Server: server, KeySkew: time.Second, MaxWaiting: w.spec.maxWaiting},
+		Deps:     w.deps(host),
 		Started:  make(chan struct{}),
 	}
 	if w.spec.connect != nil {
 		d.Connect = func(runworks.ServiceKind, string) runworks.Backend { return w.spec.connect(server) }
 	}
-	d.BeforeStart = func(a *agent.Agent) { a.HeartbeatInterval = w.spec.beatEvery }
+	d.BeforeStart = func(a *agent.Agent) { a.HeartbeatInterval = w.spec.heartbeatInterval }
 	w.hosts.Put(runworks.Host{Name: host, Role: runworks.RoleAgent, Hall: "a", Address: host + ":70"})
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.agents[server] = launch(w, d, d.Run)
 }
 
-func (w *world) startEntry(name string) {
+func (w *simCluster) startEntry(name string) {
 	d := &daemon.Entry{
-		Settings: &setting.Entry{Common: w.common(name), HostsPoll: time.Second, BalancerDelay: time.Second},
-		Deps:     w.parts(name),
+		Settings: &setting.Entry{Common: w.commonSettings(name), HostsPoll: time.Second, BalancerDelay: time.Second},
+		Deps:     w.deps(name),
 		Started:  make(chan struct{}),
 	}
 	d.BeforeStart = func(e *entry.Entry) { e.Picker, e.OnShed = w.spec.picker, w.spec.onShed }
@@ -224,8 +224,8 @@
 	w.entries[name] = launch(w, d, d.Run)
 }
 
-// started says whether a part has been put together.
-func started(c chan struct{}) bool {
+// isStarted says whether a part has been put together.
+func isStarted(c chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -235,10 +235,10 @@
 }
 
 // launch runs a part in the bubble.
-func launch[T any](w *world, part T, run func(context.Context, <-chan struct{}) error) *running[T] {
+func launch[T any](w *simCluster, d T, run func(context.Context, <-chan struct{}) error) *instance[T] {
 	ctx, kill := context.WithCancel(context.Background())
-	r := &running[T]{part: part, kill: kill, stop: make(chan struct{}), done: make(chan struct{})}
-	w.work.Go(func() {
+	r := &instance[T]{daemon: d, kill: kill, stop: make(chan struct{}), done: make(chan struct{})}
+	w.wg.Go(func() {
 		defer close(r.done)
 		if err := run(ctx, r.stop); err != nil {
 			w.t.Error(err)
@@ -248,7 +248,7 @@
 }
 
 // killAgent ends an agent at once, as if its process died: nothing more leaves it.
-func (w *world) killAgent(server string) {
+func (w *simCluster) killAgent(server string) {
 	w.mu.Lock()
 	r := w.agents[server]
 	w.mu.Unlock()
@@ -259,7 +259,7 @@
 	<-r.done
 }
 
-func (w *world) killEntry(name string) {
+func (w *simCluster) killEntry(name string) {
 	w.mu.Lock()
 	r := w.entries[name]
 	delete(w.entries, name)
@@ -272,25 +272,25 @@
 	<-r.done
 }
 
-func (w *world) entry(name string) *daemon.Entry {
+func (w *simCluster) entry(name string) *daemon.Entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.entries[name].part
+	return w.entries[name].daemon
 }
 
 // waitConnected waits until all entries see all agents, configured.
-func (w *world) waitConnected() {
+func (w *simCluster) waitConnected() {
 	w.t.Helper()
-	w.until("all agents are connected", time.Minute, func() bool {
+	w.waitFor("all agents are connected", time.Minute, func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, e := range w.entries {
-			if !started(e.part.Started) || !connectedTo(e.part, len(w.agents)) {
+			if !isStarted(e.daemon.Started) || !connectedTo(e.daemon, len(w.agents)) {
 				return false
 			}
 		}
 		for _, a := range w.agents {
-			if !started(a.part.Started) || a.part.Agent.Heartbeat().Slots == 0 {
+			if !isStarted(a.daemon.Started) || a.daemon.Agent.Heartbeat().Slots == 0 {
 				return false
 			}
 		}
@@ -309,13 +309,13 @@
 	return n == 0 && status.Version > 0
 }
 
-// until lets virtual time go on until a condition holds.
-func (w *world) until(what string, limit time.Duration, holds func() bool) {
+// waitFor lets virtual time go on waitFor a condition holds.
+func (w *simCluster) waitFor(what string, limit time.Duration, cond func() bool) {
 	w.t.Helper()
 	end := time.Now().Add(limit)
 	for {
 		synctest.Wait()
-		if holds() {
+		if cond() {
 			return
 		}
 		if time.Now().After(end) {
@@ -326,7 +326,7 @@
 }
 
 // client gives an HTTP client at a caller's host.
-func (w *world) client() *http.Client {
+func (w *simCluster) client() *http.Client {
 	transport := &http.Transport{DialContext: w.net.Dialer("caller"), DisableKeepAlives: true}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -335,13 +335,13 @@
 }
 
 // call builds a call to an entry.
-func (w *world) call(entry string, i, maxTokens int) *completionCall {
-	return &completionCall{Entry: entry + ":70", Key: worldKey, Model: worldModel, Prompt: prompt(i), MaxTokens: maxTokens}
+func (w *simCluster) call(entry string, i, maxTokens int) *completionCall {
+	return &completionCall{Entry: entry + ":70", Key: simKey, Model: simModel, Prompt: prompt(i), MaxTokens: maxTokens}
 }
 
 // dispatches sums what engines and plain servers got by request, attempts taken
 // together.
-func (w *world) dispatches() map[runworks.RequestID]int {
+func (w *simCluster) dispatches() map[runworks.RequestID]int {
 	sum := map[runworks.RequestID]int{}
 	for _, e := range w.engines {
 		for id, n := range e.Stats().Dispatches {
@@ -357,7 +357,7 @@
 }
 
 // close ends all parts and waits for them.
-func (w *world) close() {
+func (w *simCluster) close() {
 	for _, e := range w.entries {
 		e.kill()
 	}
@@ -370,15 +370,15 @@
 	for _, c := range w.clients {
 		c.CloseIdleConnections()
 	}
-	w.work.Wait()
+	w.wg.Wait()
 	w.net.Close()
 	// What net/http still waits for, by its own bounded times, ends in virtual time.
-	time.Sleep(settle)
+	time.Sleep(connCloseTime)
 }
 
-// farLog is the log service as a host reaches it: a cut between the host and
+// remoteLog is the log service as a host reaches it: a cut between the host and
 // the platform is an outage for this host alone.
-type farLog struct {
+type remoteLog struct {
 	net  *memnet.Network
 	host string
 	log  *standin.Log
@@ -387,7 +387,7 @@
 const logTimeout = 5 * time.Second
 
 // Append implements runworks.LogService.
-func (l *farLog) Append(ctx context.Context, data []byte) (int64, error) {
+func (l *remoteLog) Append(ctx context.Context, data []byte) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	if err := l.net.Pass(ctx, l.host, "platform"); err != nil {
@@ -397,7 +397,7 @@
 }
 
 // Read implements runworks.LogService.
-func (l *farLog) Read(ctx context.Context, from int64) (*runworks.LogPage, error) {
+func (l *remoteLog) Read(ctx context.Context, from int64) (*runworks.LogPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
 	if err := l.net.Pass(ctx, l.host, "platform"); err != nil {
--- a/tests/soak_check_test.go
+++ b/tests/soak_check_test.go
@@ -175,7 +175,7 @@
 	out := map[string][]string{}
 	for _, server := range s.servers {
 		for _, life := range server.lives {
-			lines := ranLines(life.text())
+			lines := ranLines(life.outputText())
 			for _, line := range lines {
 				id, _, _ := strings.Cut(strings.TrimPrefix(line, "ran "), " ")
 				out[id] = append(out[id], line)
@@ -320,7 +320,7 @@
 		if p.ended() {
 			s.t.Errorf("%s is not running at the end", f.name)
 		}
-		if text := p.text(); strings.Contains(text, "panic") {
+		if text := p.outputText(); strings.Contains(text, "panic") {
 			s.t.Errorf("%s panicked", f.name)
 		}
 	}
--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -101,7 +101,7 @@
 	}, end: func() {
 		life := server.life()
 		if life.ranThen < 0 && !life.left.IsZero() && time.Since(life.left) > soakLeaves {
-			life.ranThen = len(ranLines(life.text()))
+			life.ranThen = len(ranLines(life.outputText()))
 		}
 	}}
 }
--- a/tests/soak_record_test.go
+++ b/tests/soak_record_test.go
@@ -83,7 +83,7 @@
 	if s.trap == nil {
 		return
 	}
-	if lines := ranLines(s.trap.text()); len(lines) > 0 {
+	if lines := ranLines(s.trap.outputText()); len(lines) > 0 {
 		s.t.Errorf("a server that no record of its own names ran %q", lines)
 	}
 }
--- a/tests/soak_return_test.go
+++ b/tests/soak_return_test.go
@@ -129,7 +129,7 @@
 func (s *soak) checkOrder() {
 	for _, f := range s.fronts {
 		last := 0
-		for line := range strings.Lines(f.process.Load().text()) {
+		for line := range strings.Lines(f.process.Load().outputText()) {
 			_, rest, ok := strings.Cut(line, `"routing in force"`)
 			if !ok {
 				continue
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -162,7 +162,7 @@
 		s.startServer(server)
 	}
 	if s.tellsStarts() {
-		s.trap = start(t, "trap", "standin", "routed", "--instance", "trap", "--tell")
+		s.trap = startProcess(t, "trap", "standin", "routed", "--instance", "trap", "--tell")
 	}
 	for i := range 3 {
 		f := &soakFront{name: fmt.Sprint("front-", i), store: newProxy(t, s.store.address("standin"))}
@@ -170,7 +170,7 @@
 		s.startFront(f)
 	}
 	for _, f := range s.fronts {
-		s.until(f.name+" is ready", func() bool { return readyStatus(f.process.Load()) == http.StatusOK })
+		s.waitFor(f.name+" is ready", func() bool { return readyStatus(f.process.Load()) == http.StatusOK })
 	}
 	return s
 }
@@ -202,7 +202,7 @@
 
 // startLife begins a new life of a backend server under an id.
 func (s *soak) startLife(server *soakServer, id string) {
-	p := start(s.t, id, "standin", "routed", "--instance", id, "--delay", "5ms", "--tell")
+	p := startProcess(s.t, id, "standin", "routed", "--instance", id, "--delay", "5ms", "--tell")
 	server.proxy.aim(p.address("standin"))
 	life := &soakLife{process: p, id: id, ranThen: -1}
 	if s.tellsStarts() {
@@ -229,7 +229,7 @@
 // startFront begins a new life of a front.
 func (s *soak) startFront(f *soakFront) {
 	text := strings.Replace(s.frontSettings(f.name), s.store.address("standin"), f.store.address(), 1)
-	p := start(s.t, f.name, "runworks", "front", "--settings", s.settings(f.name, text))
+	p := startProcess(s.t, f.name, "runworks", "front", "--settings", s.settingsFile(f.name, text))
 	f.stopping = false
 	p.address("callers")
 	f.process.Store(p)
--- a/tests/stop_test.go
+++ b/tests/stop_test.go
@@ -15,25 +15,25 @@
 	"github.com/runworks/runworks/services/config"
 )
 
-// leaveWithin is how soon a leaving backend server must get no new work.
-const leaveWithin = 3 * time.Second
+// drainWithin is how soon a leaving backend server must get no new work.
+const drainWithin = 3 * time.Second
 
 // steadyCalls makes a short call every 50 ms through the entries in turn, and
 // long streams of minutes, until it is ended.
 type steadyCalls struct {
-	w     *world
+	w     *simCluster
 	h     history
 	stop  chan struct{}
 	calls sync.WaitGroup
 }
 
-func newSteadyCalls(w *world, entries ...string) *steadyCalls {
+func newSteadyCalls(w *simCluster, entries ...string) *steadyCalls {
 	s := &steadyCalls{w: w, stop: make(chan struct{})}
 	for i := range 2 { // the fastest engine keeps slots for short calls
 		c := w.call(entries[i%len(entries)], 10_000+i, 10_000)
 		c.Stream = true
 		c.Header = map[string]string{runworks.HeaderTimeout: "10m"}
-		s.make(c)
+		s.start(c)
 	}
 	s.calls.Go(func() {
 		for i := 0; ; i++ {
@@ -42,18 +42,18 @@
 				return
 			case <-time.After(50 * time.Millisecond):
 			}
-			s.make(w.call(entries[i%len(entries)], i, 5))
+			s.start(w.call(entries[i%len(entries)], i, 5))
 		}
 	})
 	return s
 }
 
-func (s *steadyCalls) make(c *completionCall) {
+func (s *steadyCalls) start(c *completionCall) {
 	s.calls.Go(func() { s.h.add(c, c.do(context.Background(), s.w.client())) })
 }
 
-// end waits for all calls and checks that each got its whole answer.
-func (s *steadyCalls) end(t *testing.T) {
+// stopAndCheck waits for all calls and checks that each got its whole answer.
+func (s *steadyCalls) stopAndCheck(t *testing.T) {
 	t.Helper()
 	close(s.stop)
 	s.calls.Wait()
@@ -67,9 +67,9 @@
 	t.Logf("%d calls", len(s.h.events))
 }
 
-// longWorld lets streams last minutes.
-func longWorld() worldSpec {
-	spec := smallWorld
+// longTimeoutSpec lets streams last minutes.
+func longTimeoutSpec() simSpec {
+	spec := smallSpec
 	spec.edit = func(cfg *runworks.Config) { cfg.Rules[0].MaxTimeout = 10 * time.Minute }
 	return spec
 }
@@ -79,7 +79,7 @@
 func TestPlannedStopOfAgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, longWorld())
+		w := newSimCluster(t, longTimeoutSpec())
 		defer w.close()
 		calls := newSteadyCalls(w, "entry-1", "entry-2")
 		time.Sleep(3 * time.Second)
@@ -90,16 +90,16 @@
 			stopped <- time.Since(began)
 		}()
 		is.True(len(w.engines["e3"].Stats().Dispatches) > 20) // it had work until now
-		time.Sleep(leaveWithin)
+		time.Sleep(drainWithin)
 		before := len(w.engines["e3"].Stats().Dispatches)
 		took := <-stopped
 		if n := len(w.engines["e3"].Stats().Dispatches) - before; n != 0 {
-			t.Errorf("%d requests came to a leaving backend server after %s", n, leaveWithin)
+			t.Errorf("%d requests came to a leaving backend server after %s", n, drainWithin)
 		}
 		t.Logf("the agent waited %s for its streams", took)
 		w.startAgent("e3")
 		time.Sleep(5 * time.Second)
-		calls.end(t)
+		calls.stopAndCheck(t)
 	})
 }
 
@@ -108,7 +108,7 @@
 func TestPlannedStopOfEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, longWorld())
+		w := newSimCluster(t, longTimeoutSpec())
 		defer w.close()
 		inFlight := newSteadyCalls(w, "entry-1")
 		time.Sleep(3 * time.Second)
@@ -116,8 +116,8 @@
 		began := time.Now()
 		close(entry.stop)
 		time.Sleep(500 * time.Millisecond)
-		is.True(entry.part.Entry.Ready() == nil) // still takes calls, until the balancer has noticed
-		inFlight.end(t)
+		is.True(entry.daemon.Entry.Ready() == nil) // still takes calls, until the balancer has noticed
+		inFlight.stopAndCheck(t)
 		<-entry.done
 		t.Logf("the entry waited %s for its requests", time.Since(began))
 		w.mu.Lock()
@@ -128,12 +128,12 @@
 	})
 }
 
-// TestLeavingByTheList marks a host as leaving on a list that lags: its backend
+// TestDrainingByHostList marks a host as leaving on a list that lags: its backend
 // server gets no new work after three seconds.
-func TestLeavingByTheList(t *testing.T) {
+func TestDrainingByHostList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, longWorld())
+		w := newSimCluster(t, longTimeoutSpec())
 		defer w.close()
 		time.Sleep(3 * time.Second)
 		w.hosts.SetLag(1500 * time.Millisecond)
@@ -141,13 +141,13 @@
 		time.Sleep(3 * time.Second)
 		is.True(len(w.engines["e3"].Stats().Dispatches) > 20) // it had work until now
 		w.hosts.Put(runworks.Host{Name: "host-e3", Role: runworks.RoleAgent, Hall: "a", Address: "host-e3:70", Draining: true})
-		time.Sleep(leaveWithin)
+		time.Sleep(drainWithin)
 		before := len(w.engines["e3"].Stats().Dispatches)
 		time.Sleep(20 * time.Second)
 		if n := len(w.engines["e3"].Stats().Dispatches) - before; n != 0 {
-			t.Errorf("%d requests came to a leaving backend server after %s", n, leaveWithin)
+			t.Errorf("%d requests came to a leaving backend server after %s", n, drainWithin)
 		}
-		calls.end(t)
+		calls.stopAndCheck(t)
 	})
 }
 
@@ -156,7 +156,7 @@
 func TestHostListFlaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, longWorld())
+		w := newSimCluster(t, longTimeoutSpec())
 		defer w.close()
 		calls := newSteadyCalls(w, "entry-1", "entry-2")
 		time.Sleep(2 * time.Second)
@@ -178,16 +178,16 @@
 	})
 }
 
-// TestConfigurationInForce applies a change at today's size while one entry is
+// TestConfigurationActive applies a change at today's size while one entry is
 // cut off from the log, and measures when it is in force everywhere.
-func TestConfigurationInForce(t *testing.T) {
+func TestConfigurationActive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spec := worldSpec{entries: []string{"entry-1", "entry-2", "entry-3"}, plains: []string{"p1", "p2", "p3"}, latency: 1500 * time.Microsecond}
+		spec := simSpec{entries: []string{"entry-1", "entry-2", "entry-3"}, plains: []string{"p1", "p2", "p3"}, latency: 1500 * time.Microsecond}
 		for i := range 12 {
 			spec.engines = append(spec.engines, engineSpec{fmt.Sprintf("e%d", i), 4, 4000, 40})
 		}
-		w := newWorld(t, spec)
+		w := newSimCluster(t, spec)
 		defer w.close()
 		watch := newVersionWatch(t, w)
 		defer watch.end()
@@ -200,7 +200,7 @@
 			result, err := config.Apply(t.Context(), w.log, config.BaseActive, &cfg)
 			is.NoErr(err)
 			began := time.Now()
-			w.until("it is in force everywhere", time.Minute, func() bool {
+			w.waitFor("it is in force everywhere", time.Minute, func() bool {
 				for _, f := range watch.followers() {
 					if f.Version() != result.Version {
 						return false
@@ -210,7 +210,7 @@
 			})
 			took := time.Since(began)
 			t.Logf("cut off from the log: %q; in force everywhere after %s", cutOff, took)
-			is.True(took < inForceWithin)
+			is.True(took < activeWithin)
 			if cutOff != "" {
 				w.net.Mend(cutOff, "platform")
 			}
@@ -223,11 +223,11 @@
 func TestLargeCustomerDoesNotStarveASmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spec := smallWorld
+		spec := smallSpec
 		spec.edit = func(cfg *runworks.Config) {
-			cfg.Customers = append(cfg.Customers, runworks.Customer{Name: "westerly", KeySHA256: []string{hashOf("small-key")}})
+			cfg.Customers = append(cfg.Customers, runworks.Customer{Name: "westerly", KeySHA256: []string{sha256Hex("small-key")}})
 		}
-		w := newWorld(t, spec)
+		w := newSimCluster(t, spec)
 		defer w.close()
 		var calls sync.WaitGroup
 		for i := range 300 {
@@ -249,16 +249,16 @@
 	})
 }
 
-// TestKeysOutliveTheirHome stops the home of a key as planned after the key's
+// TestKeysOutliveTheirOwner stops the home of a key as planned after the key's
 // request ran elsewhere: a caller who comes back gets the kept answer, and one
 // who was told not-run is told so again; also once the home is back.
-func TestKeysOutliveTheirHome(t *testing.T) {
+func TestKeysOutliveTheirOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, sweepWorld)
+		w := newSimCluster(t, sweepSpec)
 		defer w.close()
 		time.Sleep(3 * time.Second)
-		key := w.keyAtHome("e2") // the idle system runs it at e1
+		key := w.keyOwnedBy("e2") // the idle system runs it at e1
 		c := w.call("entry-1", 1, 24)
 		c.Header = map[string]string{runworks.HeaderIdempotencyKey: key}
 		is.NoErr(c.check(t.Context(), w.client()))
@@ -284,17 +284,17 @@
 	})
 }
 
-// TestHomeMoves takes a backend server out of the configuration, so that the
+// TestKeyOwnerChanges takes a backend server out of the configuration, so that the
 // keys it was home to get another: one that ran is told unknown and does not run
 // again, and a fresh key runs.
-func TestHomeMoves(t *testing.T) {
+func TestKeyOwnerChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, smallWorld)
+		w := newSimCluster(t, smallSpec)
 		defer w.close()
 		time.Sleep(3 * time.Second)
 		c := w.call("entry-1", 1, 10)
-		c.Header = map[string]string{runworks.HeaderIdempotencyKey: w.keyAtHome("e2")}
+		c.Header = map[string]string{runworks.HeaderIdempotencyKey: w.keyOwnedBy("e2")}
 		is.NoErr(c.check(t.Context(), w.client()))
 
 		cfg := *w.cfg
--- a/tests/sweep_test.go
+++ b/tests/sweep_test.go
@@ -11,34 +11,34 @@
 
 // failure brings about one failure at a moment, and mends what it can.
 type failure struct {
-	name  string
-	bring func(w *world, server string)
+	name   string
+	inject func(w *simCluster, server string)
 }
 
 var failures = []failure{
-	{"reset", func(w *world, server string) { w.net.Reset("entry-1", "host-"+server) }},
-	{"cut 1s", func(w *world, server string) { w.cutFor("entry-1", "host-"+server, time.Second) }},
-	{"cut 5s", func(w *world, server string) { w.cutFor("entry-1", "host-"+server, 5*time.Second) }},
-	{"cut 20s", func(w *world, server string) { w.cutFor("entry-1", "host-"+server, 20*time.Second) }},
-	{"kill agent", func(w *world, server string) { w.killAgent(server) }},
-	{"restart agent", func(w *world, server string) {
+	{"reset", func(w *simCluster, server string) { w.net.Reset("entry-1", "host-"+server) }},
+	{"cut 1s", func(w *simCluster, server string) { w.cutFor("entry-1", "host-"+server, time.Second) }},
+	{"cut 5s", func(w *simCluster, server string) { w.cutFor("entry-1", "host-"+server, 5*time.Second) }},
+	{"cut 20s", func(w *simCluster, server string) { w.cutFor("entry-1", "host-"+server, 20*time.Second) }},
+	{"kill agent", func(w *simCluster, server string) { w.killAgent(server) }},
+	{"restart agent", func(w *simCluster, server string) {
 		w.killAgent(server)
 		w.startAgent(server)
 	}},
-	{"kill entry", func(w *world, _ string) { w.killEntry("entry-1") }},
+	{"kill entry", func(w *simCluster, _ string) { w.killEntry("entry-1") }},
 }
 
 // cutFor cuts two hosts off from each other for a time.
-func (w *world) cutFor(a, b string, d time.Duration) {
+func (w *simCluster) cutFor(a, b string, d time.Duration) {
 	w.net.Cut(a, b)
-	w.work.Go(func() {
+	w.wg.Go(func() {
 		time.Sleep(d)
 		w.net.Mend(a, b)
 	})
 }
 
-// sweepWorld has two engines, so that a request may go elsewhere.
-var sweepWorld = worldSpec{
+// sweepSpec has two engines, so that a request may go elsewhere.
+var sweepSpec = simSpec{
 	engines: []engineSpec{{"e1", 2, 10_000, 2000}, {"e2", 2, 10_000, 2000}},
 	entries: []string{"entry-1", "entry-2"},
 	latency: 500 * time.Microsecond,
@@ -76,7 +76,7 @@
 	t.Helper()
 	h := &history{}
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, sweepWorld)
+		w := newSimCluster(t, sweepSpec)
 		defer w.close()
 		done := make(chan struct{})
 		for i := range 2 {
@@ -89,7 +89,7 @@
 			}()
 		}
 		time.Sleep(at)
-		f.bring(w, "e1")
+		f.inject(w, "e1")
 		<-done
 		<-done
 		// What was told stays true: late messages may still arrive.
@@ -117,10 +117,10 @@
 	t.Helper()
 	h := &history{}
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, sweepWorld)
+		w := newSimCluster(t, sweepSpec)
 		defer w.close()
 		time.Sleep(3 * time.Second)
-		key := w.keyAtHome("e1")
+		key := w.keyOwnedBy("e1")
 		done := make(chan struct{})
 		call := func(entry string, wait time.Duration) {
 			c := w.call(entry, 1, 24)
@@ -136,7 +136,7 @@
 		call("entry-2", 2*time.Millisecond)
 		call("entry-2", 4*time.Second)
 		time.Sleep(at)
-		f.bring(w, "e1")
+		f.inject(w, "e1")
 		for range 3 {
 			<-done
 		}
@@ -149,8 +149,8 @@
 	return h
 }
 
-// keyAtHome mints a key whose home is the agent beside a backend server.
-func (w *world) keyAtHome(server string) string {
+// keyOwnedBy mints a key whose home is the agent beside a backend server.
+func (w *simCluster) keyOwnedBy(server string) string {
 	now := w.entry("entry-1").Config.Active()
 	for i := 0; ; i++ {
 		key := mintKey(fmt.Sprint(i))
--- a/tests/tier_test.go
+++ b/tests/tier_test.go
@@ -14,8 +14,8 @@
 	"github.com/runworks/runworks"
 )
 
-// tinyQueues has little room, so that work is shed under load.
-var tinyQueues = worldSpec{
+// smallQueuesSpec has little room, so that work is shed under load.
+var smallQueuesSpec = simSpec{
 	engines:    []engineSpec{{"e1", 2, 4000, 40}, {"e2", 2, 8000, 80}, {"e3", 3, 16000, 160}},
 	entries:    []string{"entry-1", "entry-2"},
 	latency:    20 * time.Millisecond, // much is on its way while agents decide
@@ -31,11 +31,11 @@
 
 // audit finds lower work that is kept waiting while a request is shed.
 type audit struct {
-	w  *world
+	w  *simCluster
 	mu sync.Mutex
 	// shed counts shed requests by rank; broken lists what was found.
-	shed   map[int]int
-	broken []string
+	shed       map[int]int
+	violations []string
 }
 
 // onShed looks at every agent at the moment a request is shed.
@@ -46,9 +46,9 @@
 	a.w.mu.Lock()
 	defer a.w.mu.Unlock()
 	for name, agent := range a.w.agents {
-		for rank, n := range agent.part.Agent.Status().WaitingByRank {
+		for rank, n := range agent.daemon.Agent.Status().WaitingByRank {
 			if rank > req.Rank {
-				a.broken = append(a.broken, fmt.Sprintf("rank %d was shed while %d of rank %d waited at %s", req.Rank, n, rank, name))
+				a.violations = append(a.violations, fmt.Sprintf("rank %d was shed while %d of rank %d waited at %s", req.Rank, n, rank, name))
 			}
 		}
 	}
@@ -68,15 +68,15 @@
 func auditOverload(t *testing.T, seed uint64) {
 	t.Helper()
 	a := &audit{shed: map[int]int{}}
-	spec := tinyQueues
+	spec := smallQueuesSpec
 	spec.onShed = a.onShed
-	w := newWorld(t, spec)
+	w := newSimCluster(t, spec)
 	a.w = w
 	defer w.close()
 	h := &history{}
 	overload(t, w, h, seed)
 	h.check(t, w)
-	for _, text := range a.broken {
+	for _, text := range a.violations {
 		t.Error(text)
 	}
 	if a.shed[0]+a.shed[1]+a.shed[2] == 0 {
@@ -86,13 +86,13 @@
 }
 
 // overload makes bursts of calls of all tiers for half a minute.
-func overload(t *testing.T, w *world, h *history, seed uint64) {
+func overload(t *testing.T, w *simCluster, h *history, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3)) //nolint:gosec // a seed is wanted
 	var calls sync.WaitGroup
 	kinds := []string{"", "normal", "batch"}
 	for i := range 300 {
-		c := w.call(tinyQueues.entries[random.IntN(2)], i, 5+random.IntN(80))
+		c := w.call(smallQueuesSpec.entries[random.IntN(2)], i, 5+random.IntN(80))
 		c.Header = map[string]string{"Runworks-Kind": kinds[random.IntN(3)]}
 		burst := time.Duration(random.IntN(6)) * 5 * time.Second
 		at := burst + time.Duration(random.IntN(800))*time.Millisecond
@@ -108,7 +108,7 @@
 func TestAuditCatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, tinyQueues)
+		w := newSimCluster(t, smallQueuesSpec)
 		defer w.close()
 		a := &audit{w: w, shed: map[int]int{}}
 		var calls sync.WaitGroup
@@ -119,7 +119,7 @@
 		}
 		time.Sleep(time.Second)
 		a.onShed(&runworks.Request{Rank: 0})
-		is.True(len(a.broken) > 0)
+		is.True(len(a.violations) > 0)
 		calls.Wait()
 	})
 }
