--- a/tests/call_test.go
+++ b/tests/call_test.go
@@ -24,11 +24,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// prompt gives a prompt of its own to each call.
+// prompt returns a prompt that is unique to call i.
 func prompt(i int) string { return fmt.Sprintf("call-%d asks why the compressor %d is warm", i, i*7) }
 
-// completionCall is one call of the completions interface, made by plain HTTP so
-// that no client library retries it.
+// completionCall is one call of the completions interface. It is made by net/http, as a client
+// library would retry it.
 type completionCall struct {
 	Entry     string
 	Key       string
@@ -37,11 +37,11 @@
 	MaxTokens int
 	Stream    bool
 	Header    map[string]string
-	// Service makes it a call of a plain service, with the prompt as its body.
+	// Service, if set, makes it a call of this plain service, with the prompt as its body.
 	Service string
 }
 
-// result is what the caller saw.
+// result is what the caller received.
 type result struct {
 	ID         runworks.RequestID
 	Status     int
@@ -49,15 +49,15 @@
 	Attempt    string
 	RetryAfter time.Duration
 	Text       string
-	// Whole is set if the answer ended as the interface says it ends.
+	// Whole is set if the answer is complete: valid JSON, or a stream that ended with [DONE].
 	Whole bool
 	// Code is the error's code.
 	Code string
-	// Err is a broken connection.
+	// Err is the error of the connection or of decoding the answer.
 	Err error
 }
 
-// request gives the path and the body of the call.
+// request returns the path and the body of the call.
 func (c *completionCall) request() (path string, body []byte) {
 	if c.Service != "" {
 		return "/services/" + c.Service + "/log", []byte(c.Prompt)
@@ -99,7 +99,7 @@
 	return r
 }
 
-// frame is what is read of an answer, whole or in parts.
+// frame holds the decoded fields of a complete answer or of one stream event.
 type frame struct {
 	Choices []struct {
 		Text string `json:"text"`
@@ -107,7 +107,7 @@
 	Error *struct {
 		Code string `json:"code"`
 	} `json:"error"`
-	// Body is what a plain service says back.
+	// Body is the request body, echoed by a plain service.
 	Body *string `json:"body"`
 }
 
@@ -158,7 +158,7 @@
 	r.Whole = done && r.Err == nil
 }
 
-// wantText is the answer that the call's own prompt gives.
+// wantText returns the answer that the stand-ins generate for the call's prompt.
 func (c *completionCall) wantText() string {
 	if c.Service != "" {
 		return c.Prompt
@@ -166,7 +166,7 @@
 	return strings.Join(standin.Words(c.Prompt, c.MaxTokens), " ")
 }
 
-// check makes the call and compares its answer with its own prompt.
+// check makes the call and returns an error unless it gets the complete answer to its own prompt.
 func (c *completionCall) check(ctx context.Context, client *http.Client) error {
 	r := c.do(ctx, client)
 	if r.Err != nil {
@@ -176,12 +176,12 @@
 		return fmt.Errorf("status %d, outcome %q, code %q", r.Status, r.Outcome, r.Code)
 	}
 	if r.Text != c.wantText() {
-		return fmt.Errorf("the answer to %q is %q", c.Prompt, r.Text)
+		return fmt.Errorf("wrong answer to %q: %q", c.Prompt, r.Text)
 	}
 	return nil
 }
 
-// plainCall calls the plain service and checks that its own body came back.
+// plainCall calls the plain service and checks that it echoes this call's body.
 func plainCall(ctx context.Context, client *http.Client, entry, body string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/services/app/log?n=1", strings.NewReader(body))
 	if err != nil {
@@ -198,7 +198,7 @@
 		return err
 	}
 	if echo != (standin.Echo{Method: http.MethodPost, Path: "/log?n=1", Body: body}) {
-		return errors.New("the plain service's answer is another call's")
+		return errors.New("the plain service did not echo this call")
 	}
 	return nil
 }
--- a/tests/doc.go
+++ b/tests/doc.go
@@ -1,3 +1,3 @@
-// Package tests holds the tests of whole systems: separate processes, and
-// histories of concurrent runs under failure in virtual time.
+// Package tests tests whole systems: as separate processes, and as histories of
+// concurrent calls under injected failures in virtual time.
 package tests
--- a/tests/history_test.go
+++ b/tests/history_test.go
@@ -10,20 +10,20 @@
 	"github.com/runworks/runworks"
 )
 
-// event is one call as its caller saw it.
+// event is a call and what its caller received.
 type event struct {
 	call   *completionCall
 	result *result
 }
 
-// key gives the event's idempotency key.
+// key returns the idempotency key of the event's call, empty if it has none.
 func (e *event) key() string { return e.call.Header[runworks.HeaderIdempotencyKey] }
 
-// history is what callers saw and what the engines counted in one run.
+// history holds what callers received and what the engines counted in one run.
 type history struct {
 	mu     sync.Mutex
 	events []event
-	// dispatches counts, for each request, how often engines got it.
+	// dispatches is how often engines received each request.
 	dispatches map[runworks.RequestID]int
 }
 
@@ -34,7 +34,7 @@
 	h.events = append(h.events, event{call: c, result: r})
 }
 
-// violations gives every breach of what must always hold that the history shows.
+// violations returns all violations of the invariants of calls and keys in the history.
 func (h *history) violations() []string {
 	var out []string
 	for id, n := range h.dispatches {
@@ -48,13 +48,13 @@
 	return append(out, h.keyViolations()...)
 }
 
-// breach is one way in which an answer can be wrong.
+// breach is one way in which an answer can violate an invariant.
 type breach struct {
 	found bool
 	text  string
 }
 
-// eventViolations checks one answer for itself.
+// eventViolations checks the answer of one call.
 func (h *history) eventViolations(e *event) []string {
 	r := e.result
 	ran := h.dispatches[r.ID]
@@ -63,13 +63,13 @@
 	refused := answered && r.Status != http.StatusOK
 	shed := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests
 	breaches := []breach{
-		{r.Whole && r.Text != want, "got another answer"},
-		{!strings.HasPrefix(want, strings.TrimRight(r.Text, " ")), "got a part of another answer"},
-		{r.Whole && e.key() == "" && ran != 1, "was answered and not dispatched once"},
-		{r.Outcome == runworks.OutcomeNotRun && ran > 0, "was told not-run and was dispatched"},
-		{refused && (r.Outcome == "" || r.Code == ""), "was refused without an outcome"},
-		{answered && !refused && !r.Whole && r.Code == "", "ended without an error and is not whole"},
-		{shed && r.RetryAfter <= 0, "was refused without a time to come back"},
+		{r.Whole && r.Text != want, "got a wrong answer"},
+		{!strings.HasPrefix(want, strings.TrimRight(r.Text, " ")), "got a part of a wrong answer"},
+		{r.Whole && e.key() == "" && ran != 1, "was answered but not dispatched exactly once"},
+		{r.Outcome == runworks.OutcomeNotRun && ran > 0, "outcome is not-run but it was dispatched"},
+		{refused && (r.Outcome == "" || r.Code == ""), "was refused without an outcome or code"},
+		{answered && !refused && !r.Whole && r.Code == "", "ended incomplete without an error"},
+		{shed && r.RetryAfter <= 0, "was refused without Retry-After"},
 	}
 	var out []string
 	for _, b := range breaches {
@@ -80,8 +80,8 @@
 	return out
 }
 
-// keyViolations checks that the calls under one key ran at most once in all, and
-// that none was told not-run if one ran.
+// keyViolations checks that the calls under one idempotency key ran at most once in total, and that
+// none got the outcome not-run if one ran.
 func (h *history) keyViolations() []string {
 	sum := map[string]int{}
 	told := map[string]bool{}
@@ -99,13 +99,13 @@
 			out = append(out, fmt.Sprintf("key %s was dispatched %d times", key, n))
 		}
 		if n > 0 && told[key] {
-			out = append(out, fmt.Sprintf("key %s was told not-run and was dispatched", key))
+			out = append(out, fmt.Sprintf("key %s: an outcome is not-run but it was dispatched", key))
 		}
 	}
 	return out
 }
 
-// check fails the test for every violation.
+// check reports each violation as a test error.
 func (h *history) check(t *testing.T, w *simCluster) {
 	t.Helper()
 	h.dispatches = w.dispatches()
@@ -114,7 +114,7 @@
 	}
 }
 
-// counts sums the events by what the caller was told.
+// counts returns the number of events by result: done, the outcome, or broken.
 func (h *history) counts() map[string]int {
 	out := map[string]int{}
 	for i := range h.events {
@@ -131,8 +131,8 @@
 	return out
 }
 
-// TestHistoryCheckerCatches shows that the checker finds each kind of breach in
-// a history that has it.
+// TestHistoryCheckerCatches checks that violations finds each kind of breach, so that a test that
+// uses it cannot pass because the checker misses one.
 func TestHistoryCheckerCatches(t *testing.T) {
 	call := &completionCall{Prompt: "a b c", MaxTokens: 3}
 	keyedCall := &completionCall{Prompt: "a b c", MaxTokens: 3, Header: map[string]string{runworks.HeaderIdempotencyKey: "k"}}
@@ -145,19 +145,19 @@
 	}{
 		{"nothing wrong", []event{{call, good}}, map[runworks.RequestID]int{"1": 1}, 0},
 		{"dispatched twice", nil, map[runworks.RequestID]int{"1": 2}, 1},
-		{"another's answer", []event{{call, &result{ID: "1", Status: 200, Whole: true, Text: "x y z"}}}, map[runworks.RequestID]int{"1": 1}, 2},
-		{"a part looks whole", []event{{call, &result{ID: "1", Status: 200, Whole: true, Text: "a b"}}}, map[runworks.RequestID]int{"1": 1}, 1},
+		{"another call's answer", []event{{call, &result{ID: "1", Status: 200, Whole: true, Text: "x y z"}}}, map[runworks.RequestID]int{"1": 1}, 2},
+		{"partial answer looks complete", []event{{call, &result{ID: "1", Status: 200, Whole: true, Text: "a b"}}}, map[runworks.RequestID]int{"1": 1}, 1},
 		{"not-run but ran", []event{{call, &result{ID: "1", Status: 503, Outcome: "not-run", Code: "x", RetryAfter: 1}}}, map[runworks.RequestID]int{"1": 1}, 1},
 		{"no outcome", []event{{call, &result{ID: "1", Status: 502}}}, nil, 1},
-		{"silently short", []event{{call, &result{ID: "1", Status: 200, Text: "a"}}}, nil, 1},
-		{"no time to come back", []event{{call, &result{ID: "1", Status: 503, Outcome: "not-run", Code: "x"}}}, nil, 1},
+		{"truncated without an error", []event{{call, &result{ID: "1", Status: 200, Text: "a"}}}, nil, 1},
+		{"no Retry-After", []event{{call, &result{ID: "1", Status: 503, Outcome: "not-run", Code: "x"}}}, nil, 1},
 		{
 			"a key ran twice",
 			[]event{{keyedCall, good}, {keyedCall, &result{ID: "2", Status: 200, Whole: true, Text: "a b c"}}},
 			map[runworks.RequestID]int{"1": 1, "2": 1}, 1,
 		},
 		{
-			"a key's call told not-run and another ran",
+			"one call of a key is not-run and another ran",
 			[]event{{keyedCall, good}, {keyedCall, &result{ID: "2", Status: 503, Outcome: "not-run", Code: "x", RetryAfter: 1}}},
 			map[runworks.RequestID]int{"1": 1}, 1,
 		},
--- a/tests/main_test.go
+++ b/tests/main_test.go
@@ -7,11 +7,10 @@
 	"go.uber.org/goleak"
 )
 
-// seeds is how many random failure schedules are run.
-var seeds = flag.Int("seeds", 200, "how many random failure schedules are run")
+var seeds = flag.Int("seeds", 200, "number of random failure schedules to run")
 
-// firstSeed replays one schedule: -first-seed N -seeds 1.
-var firstSeed = flag.Int("first-seed", 1, "the first seed of the random failure schedules")
+// firstSeed with -seeds 1 replays one schedule: -first-seed N -seeds 1.
+var firstSeed = flag.Int("first-seed", 1, "first seed of the random failure schedules")
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
--- a/tests/mutants_test.go
+++ b/tests/mutants_test.go
@@ -16,14 +16,17 @@
 	"github.com/runworks/runworks/bench/mutant"
 )
 
-// mutantTimeout bounds a proof: none takes a third of it with its mechanism in place.
+// mutantTimeout limits the run of one test on a mutant. On unchanged code, each of these tests
+// takes less than a third of it.
 const mutantTimeout = 2 * time.Minute
 
-var mutants = flag.Bool("mutants", false, "take each mechanism of testdata/mutants out and see its proof fail")
+var mutants = flag.Bool("mutants", false, "apply each mutant of testdata/mutants and check that its test fails")
 
-// TestMutants takes mechanisms out, one at a time, and with -mutants runs the test
-// that proves each: it must fail. The data file gives the file, the package and the test;
-// the input is a change as mutant.Texts takes it.
+// TestMutants guards against tests that pass although the mechanism they cover is missing.
+// Each entry of testdata/mutants removes one mechanism; with -mutants the test that the entry
+// names is run on the changed code and must fail. Without the flag, only whether each change
+// still applies is checked. An entry names the file, the package and the test; its input is a
+// change in the format of mutant.Texts.
 func TestMutants(t *testing.T) {
 	datadriven.RunTest(t, "testdata/mutants", func(t *testing.T, d *datadriven.TestData) string {
 		var file, pkg, test string
@@ -35,7 +38,7 @@
 			t.Fatal(err)
 		}
 		if !*mutants {
-			return d.Expected // that each change still applies is all that is tested
+			return d.Expected // only whether the change applies is checked
 		}
 		out, caught := runMutant(t, texts, pkg, test)
 		if !caught {
@@ -47,7 +50,7 @@
 	})
 }
 
-// repoRoot gives the tree's root.
+// repoRoot returns the absolute path of the repository's root.
 func repoRoot(t *testing.T) string {
 	t.Helper()
 	root, err := filepath.Abs("..")
@@ -57,23 +60,25 @@
 	return root
 }
 
-// runMutant runs a test with files changed, without touching the tree.
+// runMutant runs a test with the changed files in an overlay, so that the working tree stays as
+// it is. It returns the test's output and reports whether the test failed.
 func runMutant(t *testing.T, texts map[string]string, pkg, test string) (out string, caught bool) {
 	t.Helper()
-	// A proof that hangs without its mechanism has caught it too.
+	// A time-out counts as caught: the test hangs without the mechanism.
 	cmd := exec.Command("go", "test", "-vet=off", "-timeout", mutantTimeout.String(), "-run", test, "./"+pkg)
 	cmd.Dir = repoRoot(t)
-	// In the environment the overlay holds for the programs that a test builds as well.
+	// Set by GOFLAGS, the overlay also applies to the programs that a test builds.
 	cmd.Env = append(os.Environ(), "GOFLAGS=-overlay="+writeOverlay(t, texts))
 	output, err := cmd.CombinedOutput()
 	if strings.Contains(string(output), "[build failed]") {
-		t.Errorf("the mutant does not build: %s", output)
+		t.Errorf("mutant does not build: %s", output)
 		return "", false
 	}
 	return string(output), err != nil
 }
 
-// writeOverlay writes the changed files and the overlay that names them.
+// writeOverlay writes the changed files and an overlay file for the go command, and returns the
+// overlay's path.
 func writeOverlay(t *testing.T, texts map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -95,7 +100,8 @@
 	return file
 }
 
-// firstFailure gives the first line by which a test says what it found.
+// firstFailure returns the first failure line of a test's output, or all of the output if it has
+// none.
 func firstFailure(out string) string {
 	for _, line := range strings.Split(out, "\n") {
 		if strings.Contains(line, "_test.go:") || strings.HasPrefix(line, "panic:") {
--- a/tests/process_failure_test.go
+++ b/tests/process_failure_test.go
@@ -22,10 +22,11 @@
 	{name: "app-1", plain: true, slots: 16},
 }
 
-// retryPause bounds how often a dead entry is tried.
+// retryPause is the pause after a call that got no response, so that an entry which has exited is
+// not called in a busy loop.
 const retryPause = 50 * time.Millisecond
 
-// processLoad makes calls through the entries until it is ended.
+// processLoad makes calls through the entries from 8 lanes until stopAndCheck is called.
 type processLoad struct {
 	s     *site
 	h     history
@@ -61,7 +62,8 @@
 	return l
 }
 
-// stopAndCheck stops the load and checks the history against what the engines counted.
+// stopAndCheck stops the load, checks the history against the engines' counts, and returns the
+// number of calls by result.
 func (l *processLoad) stopAndCheck(t *testing.T) map[string]int {
 	t.Helper()
 	close(l.stop)
@@ -75,7 +77,7 @@
 	return counts
 }
 
-// waitAnswers waits until the load has n whole answers more than now.
+// waitAnswers waits until n more calls have got a complete answer.
 func (l *processLoad) waitAnswers(n int) {
 	l.s.t.Helper()
 	count := func() int {
@@ -90,11 +92,11 @@
 		return whole
 	}
 	before := count()
-	l.s.waitFor("calls go on being answered", func() bool { return count() >= before+n })
+	l.s.waitFor("calls are still answered", func() bool { return count() >= before+n })
 }
 
-// TestProcessesKilled kills an agent under load, and later an entry, and starts
-// the agent again: calls go on being answered, and every answer is true.
+// TestProcessesKilled kills an agent under load, restarts it, and then kills an entry: calls are
+// still answered, and each answer is that of its own call.
 func TestProcessesKilled(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, twoEngines, []string{"entry-1", "entry-2"})
@@ -113,8 +115,8 @@
 	is.True(counts["done"] > 140)
 }
 
-// TestProcessesPlannedStop stops an agent and then an entry with SIGTERM under
-// load: not one call that was taken is cut.
+// TestProcessesPlannedStop stops an agent and then an entry with SIGTERM under load: no accepted
+// call is cut off, and both exit with 0.
 func TestProcessesPlannedStop(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, twoEngines, []string{"entry-1", "entry-2"})
@@ -125,7 +127,7 @@
 	is.Equal(s.agents["one"].cmd.ProcessState.ExitCode(), 0)
 	load.waitAnswers(20)
 	counts := load.stopAndCheck(t)
-	is.Equal(len(counts), 1) // all done
+	is.Equal(len(counts), 1) // all calls were answered
 
 	one := &completionCall{Entry: s.entries["entry-1"].address("callers"), Key: "site-key", Model: "site-model", Prompt: prompt(1), MaxTokens: 500, Stream: true}
 	answered := make(chan error)
@@ -137,7 +139,8 @@
 	is.Equal(s.entries["entry-1"].cmd.ProcessState.ExitCode(), 0)
 }
 
-// inFlight gives the inFlight that an entry has in flight.
+// inFlight returns the number of requests that an entry has in flight, -1 if its status cannot be
+// read.
 func (s *site) inFlight(entry string) int {
 	var status struct {
 		Requests int `json:"requests"`
@@ -148,8 +151,9 @@
 	return status.Requests
 }
 
-// TestProcessesFrozenAgent freezes an agent under load for longer than a grant
-// is valid, and wakes it: it acts on no grant that has lapsed.
+// TestProcessesFrozenAgent suspends an agent under load with SIGSTOP for longer than a grant is
+// valid. After SIGCONT it must not act on an expired grant: the request may have been dispatched to
+// another server in the meantime and would run twice.
 func TestProcessesFrozenAgent(t *testing.T) {
 	s := newSite(t, twoEngines, []string{"entry-1", "entry-2"})
 	load := newProcessLoad(s, "entry-1", "entry-2")
@@ -157,14 +161,15 @@
 	s.agents["one"].signal(syscall.SIGSTOP)
 	frozen := time.Now()
 	load.waitAnswers(20)
-	s.waitFor("every grant has lapsed", func() bool { return time.Since(frozen) > 2*control.GrantTimeout })
+	s.waitFor("every grant has expired", func() bool { return time.Since(frozen) > 2*control.GrantTimeout })
 	s.agents["one"].signal(syscall.SIGCONT)
 	load.waitAnswers(100)
 	load.stopAndCheck(t)
 }
 
-// TestProcessesKeyedAfterEntryDeath kills the entry that runs a keyed call; the
-// caller comes back with its key through the other entry and gets the one answer.
+// TestProcessesKeyedAfterEntryDeath kills the entry that runs a call with an idempotency key. The
+// caller repeats the call with its key through the other entry and gets the answer of the request
+// that is already running; no second one is dispatched.
 func TestProcessesKeyedAfterEntryDeath(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, twoEngines, []string{"entry-1", "entry-2"})
@@ -174,7 +179,7 @@
 	}
 	first := make(chan *result)
 	go func() { first <- c.do(context.Background(), http.DefaultClient) }()
-	s.waitFor("an engine runs it", func() bool { return len(s.dispatches()) == 1 })
+	s.waitFor("an engine runs the request", func() bool { return len(s.dispatches()) == 1 })
 	s.entries["entry-1"].signal(syscall.SIGKILL)
 	is.True((<-first).Err != nil)
 
@@ -182,12 +187,12 @@
 	again.Entry = s.entries["entry-2"].address("callers")
 	is.NoErr(again.check(context.Background(), http.DefaultClient))
 	dispatches := s.dispatches()
-	is.Equal(len(dispatches), 1) // one request in all
+	is.Equal(len(dispatches), 1) // one request in total
 	for _, n := range dispatches {
 		is.Equal(n, 1)
 	}
 
-	// Afterwards the key still gives the kept answer, and no other request.
+	// The key then returns the kept answer again; with another request it is refused.
 	is.NoErr(again.check(context.Background(), http.DefaultClient))
 	other := again
 	other.Prompt = "another question"
--- a/tests/process_test.go
+++ b/tests/process_test.go
@@ -24,11 +24,11 @@
 
 const (
 	processFleetKey = "process-test-fleet-key"
-	// waitTimeout bounds every wait on a condition of a process.
+	// waitTimeout limits each wait for a condition of a process.
 	waitTimeout = 30 * time.Second
 )
 
-// buildPrograms builds the two buildPrograms once for all tests of processes.
+// buildPrograms builds the programs of cmd once for all tests and returns their directory.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "runworks-programs")
 	if err != nil {
@@ -36,12 +36,12 @@
 	}
 	out, err := exec.Command("go", "build", "-o", dir+"/", "../cmd/...").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("build the programs: %w: %s", err, out)
+		return "", fmt.Errorf("build programs: %w: %s", err, out)
 	}
 	return dir, nil
 })
 
-// process is one program under test.
+// process is a running program under test.
 type process struct {
 	t    testing.TB
 	name string
@@ -49,12 +49,13 @@
 	done chan struct{}
 
 	mu        sync.Mutex
-	addresses map[string]string
+	addresses map[string]string // listen addresses by purpose
 	output    bytes.Buffer
-	changed   chan struct{}
+	changed   chan struct{} // receives after a line of output
 }
 
-// startProcess runs a program and gathers the addresses it says it listens on.
+// startProcess runs a program and collects the listen addresses that it logs. The process is
+// killed at the end of the test; its output is logged if the test failed.
 func startProcess(t testing.TB, name, program string, args ...string) *process {
 	t.Helper()
 	dir, err := buildPrograms()
@@ -84,7 +85,7 @@
 	return p
 }
 
-// readOutput takes the program's lines until it ends.
+// readOutput reads the program's output until the program exits.
 func (p *process) readOutput(reader *os.File) {
 	scanner := bufio.NewScanner(reader)
 	for scanner.Scan() {
@@ -121,7 +122,7 @@
 	return p.output.String()
 }
 
-// address waits until the program listens for what.
+// address waits until the program listens for the purpose what and returns the address.
 func (p *process) address(what string) string {
 	p.t.Helper()
 	limit := time.After(waitTimeout)
@@ -135,14 +136,14 @@
 		select {
 		case <-p.changed:
 		case <-p.done:
-			p.t.Fatalf("%s ended before it listened for %s:\n%s", p.name, what, p.outputText())
+			p.t.Fatalf("%s exited before it listened for %s:\n%s", p.name, what, p.outputText())
 		case <-limit:
-			p.t.Fatalf("%s does not listen for %s:\n%s", p.name, what, p.outputText())
+			p.t.Fatalf("%s did not listen for %s in time:\n%s", p.name, what, p.outputText())
 		}
 	}
 }
 
-// signal sends a signal to this process alone.
+// signal sends a signal to this process, not to its group.
 func (p *process) signal(s syscall.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -150,17 +151,18 @@
 	}
 }
 
-// waitExit waits until the program has ended.
+// waitExit waits until the program has exited.
 func (p *process) waitExit() {
 	p.t.Helper()
 	select {
 	case <-p.done:
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s does not end", p.name)
+		p.t.Fatalf("%s did not exit in time", p.name)
 	}
 }
 
-// site is a whole system of separate processes.
+// site is a whole system of separate processes: log service, host list, backend servers, agents
+// and entries.
 type site struct {
 	t        testing.TB
 	dir      string
@@ -171,7 +173,7 @@
 	entries  map[string]*process
 }
 
-// serverSpec is one backend server of a site, with its stand-in's flags.
+// serverSpec describes one backend server of a site; args are further flags of its stand-in.
 type serverSpec struct {
 	name  string
 	plain bool
@@ -179,8 +181,8 @@
 	args  []string
 }
 
-// newSite starts the platform, the backend servers with their agents, and the
-// entries, and waits until all entries see all agents.
+// newSite starts the log service, the host list, the backend servers with their agents, and the
+// entries, and waits until all entries are connected to all agents.
 func newSite(t testing.TB, servers []serverSpec, entries []string) *site {
 	t.Helper()
 	s := &site{t: t, dir: t.TempDir(), backends: map[string]*process{}, agents: map[string]*process{}, entries: map[string]*process{}}
@@ -208,7 +210,7 @@
 	return s
 }
 
-// apply writes the configuration and applies it with the command.
+// apply writes the configuration file and applies it with "runworks apply".
 func (s *site) apply(servers []serverSpec) {
 	s.t.Helper()
 	var engines, plains strings.Builder
@@ -229,7 +231,7 @@
 	apply := startProcess(s.t, "apply", "runworks", "apply", "-f", file, "--log-service", "http://"+s.log.address("standin"))
 	apply.waitExit()
 	if code := apply.cmd.ProcessState.ExitCode(); code != 0 {
-		s.t.Fatalf("apply ended with %d:\n%s", code, apply.outputText())
+		s.t.Fatalf("apply exited with %d:\n%s", code, apply.outputText())
 	}
 }
 
@@ -306,19 +308,19 @@
 	_ = res.Body.Close()
 }
 
-// waitFor waits for a condition of the processes.
+// waitFor polls a condition until it holds, and fails the test after waitTimeout.
 func (s *site) waitFor(what string, cond func() bool) {
 	s.t.Helper()
 	limit := time.Now().Add(waitTimeout)
 	for !cond() {
 		if time.Now().After(limit) {
-			s.t.Fatalf("waited in vain: %s", what)
+			s.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// getJSON reads JSON from a process; false if it can't be had.
+// getJSON reads a JSON document from a process and reports whether it was read with status 200.
 func getJSON(url string, out any) bool {
 	res, err := http.Get(url) //nolint:gosec // a process of this test
 	if err != nil {
@@ -331,7 +333,7 @@
 func (s *site) waitConnected(entry string, agents int) {
 	s.t.Helper()
 	url := "http://" + s.entries[entry].address("operators")
-	s.waitFor(entry+" sees its agents", func() bool {
+	s.waitFor(entry+" is connected to all agents", func() bool {
 		var status struct {
 			Version int64 `json:"version"`
 			Agents  []struct {
@@ -361,7 +363,7 @@
 	}
 }
 
-// dispatches sums the engines' counts by request, attempts taken together.
+// dispatches returns how often the engines received each request, over all its attempts.
 func (s *site) dispatches() map[runworks.RequestID]int {
 	s.t.Helper()
 	sum := map[runworks.RequestID]int{}
@@ -384,8 +386,9 @@
 	{name: "app-1", plain: true, slots: 16},
 }
 
-// TestProcessesEndToEnd sends 200 concurrent calls of mixed length through two
-// entries and checks every answer against its own prompt.
+// TestProcessesEndToEnd sends 200 concurrent calls of mixed length through two entries and checks
+// each answer against its own prompt, so that no caller gets another call's answer, and that no
+// request reaches an engine twice.
 func TestProcessesEndToEnd(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, heterogeneousServers, []string{"entry-1", "entry-2"})
@@ -407,8 +410,8 @@
 	}
 }
 
-// endToEndCall makes the i-th call: one in ten to the plain service, one in
-// ten a hundred times longer, half of them streamed.
+// endToEndCall makes the i-th call: one in ten to the plain service, one in ten about a hundred
+// times longer, every second one streamed.
 func endToEndCall(ctx context.Context, entry string, i int) error {
 	if i%10 == 9 {
 		return plainCall(ctx, http.DefaultClient, entry, fmt.Sprintf("alarm %d", i))
--- a/tests/schedule_test.go
+++ b/tests/schedule_test.go
@@ -19,13 +19,12 @@
 const (
 	scheduleTime  = 60 * time.Second
 	scheduleCalls = 80
-	// activeWithin is how soon a configuration must be in force everywhere.
+	// activeWithin is the time within which a configuration must be active everywhere.
 	activeWithin = 19 * time.Second
 )
 
-// TestSchedules runs random schedules of failures under load, and checks each
-// history. A seed that fails is printed; replay it with
-// -run Schedules -args -first-seed N -seeds 1.
+// TestSchedules runs random schedules of failures under load and checks the history of each. It
+// logs a seed that fails; -run Schedules -args -first-seed N -seeds 1 replays it.
 func TestSchedules(t *testing.T) {
 	const parallel = 8
 	var mu sync.Mutex
@@ -59,7 +58,7 @@
 	h      *history
 	calls  sync.WaitGroup
 	faults sync.WaitGroup
-	// names of parts, in a fixed order.
+	// servers and entries are names in a fixed order, so that a seed replays the same run.
 	servers  []string
 	entries  []string
 	injected []string
@@ -74,7 +73,7 @@
 		defer s.w.close()
 		s.servers = []string{"e1", "e2", "e3", "p1", "p2"}
 		s.entries = []string{"entry-1", "entry-2"}
-		time.Sleep(3 * time.Second) // keys are accepted from now on
+		time.Sleep(3 * time.Second) // idempotency keys are accepted from now on
 		watch := newVersionWatch(t, s.w)
 		s.startCalls()
 		s.startFaults()
@@ -92,7 +91,7 @@
 	return s.h
 }
 
-// startCalls makes calls at random times through both entries.
+// startCalls starts calls at random times through both entries.
 func (s *schedule) startCalls() {
 	for i := range scheduleCalls {
 		c := s.w.call(s.entries[s.random.IntN(2)], i, 1+s.random.IntN(40))
@@ -109,8 +108,8 @@
 	}
 }
 
-// call makes one call; a keyed one is made again through the other entry if it
-// was not answered, or at the same moment.
+// call makes one call. A call with an idempotency key is repeated through the other entry until it
+// is answered, and with twice also made there at the same time.
 func (s *schedule) call(c *completionCall, at time.Duration, keyed, twice bool) {
 	time.Sleep(at)
 	client := s.w.client()
@@ -135,8 +134,8 @@
 	}
 }
 
-// mintKey makes a UUIDv7 of the virtual time now. The library's own maker keeps
-// its last time over all bubbles, and would mint in the future here.
+// mintKey returns a UUIDv7 of the current virtual time. uuid.NewV7 cannot be used: it keeps its
+// last time across all bubbles, so its keys would lie in the future here.
 func mintKey(text string) string {
 	id := uuid.NewSHA1(uuid.Nil, []byte(text))
 	ms := time.Now().UnixMilli()
@@ -147,7 +146,7 @@
 	return id.String()
 }
 
-// fault brings about one failure and mends it.
+// fault causes one failure and ends it again; pick is its random source.
 type fault struct {
 	name string
 	run  func(s *schedule, pick *rand.Rand)
@@ -205,7 +204,7 @@
 	}},
 }
 
-// apply applies a changed configuration, as one of several operators.
+// apply applies a changed configuration, as one of several concurrent operators.
 func (s *schedule) apply(weight float64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -215,8 +214,8 @@
 	_, _ = config.Apply(ctx, s.w.log, config.BaseActive, &cfg)
 }
 
-// startFaults brings about up to six failures at random times, one after the
-// other or at once. The same part is not killed by two of them at a time.
+// startFaults causes one to six failures at random times, which may overlap. Faults that kill or
+// stop an entry or agent run one at a time, so that none is killed twice at once.
 func (s *schedule) startFaults() {
 	var one sync.Mutex
 	for range 1 + s.random.IntN(6) {
@@ -236,14 +235,15 @@
 	}
 }
 
-// lockInVirtualTime takes a lock in virtual time, which a plain wait for it stops.
+// lockInVirtualTime locks mu by polling. mu.Lock would stop virtual time: synctest does not treat
+// a goroutine that waits for a mutex as durably blocked.
 func lockInVirtualTime(mu *sync.Mutex) {
 	for !mu.TryLock() {
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// stopAgent stops an agent as planned and waits for its end.
+// stopAgent stops an agent as planned and waits until it has returned.
 func (w *simCluster) stopAgent(server string) {
 	w.mu.Lock()
 	r := w.agents[server]
@@ -252,8 +252,8 @@
 	<-r.done
 }
 
-// versionWatch sees that no process goes back to an older configuration, and
-// that all come to the newest.
+// versionWatch checks that no process returns to an older configuration, and that all processes
+// reach the newest one.
 type versionWatch struct {
 	t    *testing.T
 	w    *simCluster
@@ -280,7 +280,7 @@
 		for _, f := range v.followers() {
 			now := f.Version()
 			if now < v.seen[f] {
-				v.t.Errorf("a process went back from version %d to %d", v.seen[f], now)
+				v.t.Errorf("a process returned from version %d to %d", v.seen[f], now)
 			}
 			v.seen[f] = now
 		}
@@ -304,7 +304,7 @@
 	return out
 }
 
-// checkConverged checks that every process has the newest version in force.
+// checkConverged checks that the newest version is active in each process.
 func (v *versionWatch) checkConverged() {
 	newest, _, err := config.Latest(context.Background(), v.w.log)
 	if err != nil {
@@ -312,7 +312,7 @@
 	}
 	for _, f := range v.followers() {
 		if f.Version() != newest {
-			v.t.Errorf("a process has version %d in force, the log %d", f.Version(), newest)
+			v.t.Errorf("active version of a process is %d, newest in the log %d", f.Version(), newest)
 		}
 	}
 }
--- a/tests/sim_cluster_basic_test.go
+++ b/tests/sim_cluster_basic_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestSimClusterAnswers sends calls through both entries in virtual time.
+// TestSimClusterAnswers sends calls through both entries: each gets its own answer, and each request
+// reaches an engine once.
 func TestSimClusterAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/tests/sim_cluster_test.go
+++ b/tests/sim_cluster_test.go
@@ -22,7 +22,7 @@
 	"github.com/runworks/runworks/standin/memnet"
 )
 
-// connCloseTime is longer than any time that a closed connection is waited for.
+// connCloseTime is longer than any time for which net/http waits for a closed connection.
 const connCloseTime = 30 * time.Second
 
 const (
@@ -31,17 +31,18 @@
 	simFleetKey = "world-fleet-key-0123"
 )
 
-// simCluster is a whole system in one bubble of virtual time: the real entries and
-// agents, over a network in memory, with stand-ins.
+// simCluster is a whole system in one synctest bubble, and so in virtual time: the real entries
+// and agents, connected by an in-memory network, with stand-ins for backend servers and the
+// platform.
 type simCluster struct {
 	t    *testing.T
 	spec simSpec
-	// fakes are the engines of a measurement.
+	// fakes are the engines of TestMeasure, by server.
 	fakes map[string]*fakeEngine
 	net   *memnet.Network
 	log   *standin.Log
 	hosts *standin.Hosts
-	// tracer records the spans of all parts; nil records none.
+	// tracer records the spans of all entries and agents; nil records none.
 	tracer trace.Tracer
 	cfg    *runworks.Config
 
@@ -55,7 +56,8 @@
 	clients []*http.Transport
 }
 
-// instance is a part that runs, with the means to stop and to kill it.
+// instance is a running entry or agent. Closing stop begins a planned stop, kill cancels its
+// context, and done is closed after it has returned.
 type instance[T any] struct {
 	daemon T
 	kill   context.CancelFunc
@@ -63,30 +65,30 @@
 	done   chan struct{}
 }
 
-// engineSpec is one stand-in engine of a world.
+// engineSpec describes one stand-in engine of a simCluster.
 type engineSpec struct {
 	name  string
 	slots int
-	// prefill and decode are tokens a second.
+	// prefill and decode are in tokens per second.
 	prefill, decode float64
 }
 
-// simSpec says what a world is made of.
+// simSpec describes a simCluster.
 type simSpec struct {
 	engines []engineSpec
 	plains  []string
 	entries []string
 	latency time.Duration
 	tracer  trace.Tracer
-	// maxWaiting bounds the tickets at each agent; 0 is the default.
+	// maxWaiting limits the reservations at each agent; 0 is the default.
 	maxWaiting int
-	// connect is the way to the engines; nil is HTTP to the stand-ins.
+	// connect returns the backend of a server; nil is HTTP to the stand-ins.
 	connect func(server string) runworks.Backend
-	// heartbeatInterval is the time between load reports; 0 is the default.
+	// heartbeatInterval is the time between an agent's heartbeats; 0 is the default.
 	heartbeatInterval time.Duration
-	// picker chooses who gets the first ticket; nil is the default.
+	// picker chooses the agents that get a reservation; nil is the default.
 	picker runworks.Picker
-	// onShed is told of each request that is shed.
+	// onShed is called with each request that is shed.
 	onShed func(*runworks.Request)
 	// edit changes the configuration before it is applied.
 	edit func(*runworks.Config)
@@ -99,7 +101,8 @@
 	latency: 500 * time.Microsecond,
 }
 
-// newSimCluster starts a world and waits until it is connected. Call close.
+// newSimCluster starts a cluster and waits until its entries and agents are connected. The caller
+// must call close.
 func newSimCluster(t *testing.T, spec simSpec) *simCluster {
 	t.Helper()
 	w := &simCluster{
@@ -169,7 +172,7 @@
 	return cfg
 }
 
-// serve runs a handler at a port of a host until the world closes.
+// serve runs an HTTP handler on a port of a host until the cluster is closed.
 func (w *simCluster) serve(host, port string, handler http.Handler) {
 	listener, err := w.net.Listen(host + ":" + port)
 	if err != nil {
@@ -224,7 +227,7 @@
 	w.entries[name] = launch(w, d, d.Run)
 }
 
-// isStarted says whether a part has been put together.
+// isStarted reports whether an entry or agent has been set up, which closes c.
 func isStarted(c chan struct{}) bool {
 	select {
 	case <-c:
@@ -234,7 +237,7 @@
 	}
 }
 
-// launch runs a part in the bubble.
+// launch runs an entry or agent in the bubble.
 func launch[T any](w *simCluster, d T, run func(context.Context, <-chan struct{}) error) *instance[T] {
 	ctx, kill := context.WithCancel(context.Background())
 	r := &instance[T]{daemon: d, kill: kill, stop: make(chan struct{}), done: make(chan struct{})}
@@ -247,7 +250,8 @@
 	return r
 }
 
-// killAgent ends an agent at once, as if its process died: nothing more leaves it.
+// killAgent stops an agent as if its process were killed: its connections are reset and it sends
+// nothing more.
 func (w *simCluster) killAgent(server string) {
 	w.mu.Lock()
 	r := w.agents[server]
@@ -278,7 +282,7 @@
 	return w.entries[name].daemon
 }
 
-// waitConnected waits until all entries see all agents, configured.
+// waitConnected waits until all entries are connected to all agents and have a configuration.
 func (w *simCluster) waitConnected() {
 	w.t.Helper()
 	w.waitFor("all agents are connected", time.Minute, func() bool {
@@ -298,7 +302,7 @@
 	})
 }
 
-// connectedTo says whether an entry has a configuration and sees n agents.
+// connectedTo reports whether an entry has a configuration and is connected to exactly n agents.
 func connectedTo(d *daemon.Entry, n int) bool {
 	status := d.Entry.Status()
 	for _, a := range status.Agents {
@@ -309,7 +313,7 @@
 	return n == 0 && status.Version > 0
 }
 
-// waitFor lets virtual time go on waitFor a condition holds.
+// waitFor lets virtual time pass until a condition holds, and fails the test after limit.
 func (w *simCluster) waitFor(what string, limit time.Duration, cond func() bool) {
 	w.t.Helper()
 	end := time.Now().Add(limit)
@@ -319,13 +323,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("waited in vain: %s", what)
+			w.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// client gives an HTTP client at a caller's host.
+// client returns an HTTP client on the caller's host.
 func (w *simCluster) client() *http.Client {
 	transport := &http.Transport{DialContext: w.net.Dialer("caller"), DisableKeepAlives: true}
 	w.mu.Lock()
@@ -334,13 +338,13 @@
 	return &http.Client{Transport: transport}
 }
 
-// call builds a call to an entry.
+// call builds the i-th call to an entry without making it.
 func (w *simCluster) call(entry string, i, maxTokens int) *completionCall {
 	return &completionCall{Entry: entry + ":70", Key: simKey, Model: simModel, Prompt: prompt(i), MaxTokens: maxTokens}
 }
 
-// dispatches sums what engines and plain servers got by request, attempts taken
-// together.
+// dispatches returns how often engines and plain servers received each request, over all its
+// attempts.
 func (w *simCluster) dispatches() map[runworks.RequestID]int {
 	sum := map[runworks.RequestID]int{}
 	for _, e := range w.engines {
@@ -356,7 +360,7 @@
 	return sum
 }
 
-// close ends all parts and waits for them.
+// close stops all entries, agents and servers, and waits for them.
 func (w *simCluster) close() {
 	for _, e := range w.entries {
 		e.kill()
@@ -372,12 +376,13 @@
 	}
 	w.wg.Wait()
 	w.net.Close()
-	// What net/http still waits for, by its own bounded times, ends in virtual time.
+	// Lets the goroutines of net/http that wait for a closed connection time out, as virtual time
+	// stops when the test function returns.
 	time.Sleep(connCloseTime)
 }
 
-// remoteLog is the log service as a host reaches it: a cut between the host and
-// the platform is an outage for this host alone.
+// remoteLog is the log service as one host reaches it: a network cut between the host and the
+// platform is an outage for that host only.
 type remoteLog struct {
 	net  *memnet.Network
 	host string
