--- a/bench/mutant/mutant.go
+++ b/bench/mutant/mutant.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// List is where the mechanisms stand, below the tree's root.
-const List = "tests/testdata/mutants"
+// ListPath is where the mechanisms stand, below the tree's root.
+const ListPath = "tests/testdata/mutants"
 
 // The errors of a list.
 var (
@@ -31,10 +31,10 @@
 	Change string
 }
 
-// Texts makes the changes of one mutant and gives the changed files' texts by path. A
+// ChangedFiles makes the changes of one mutant and gives the changed files' texts by path. A
 // change is the text that goes, a line of three dashes, and what takes its place; more
 // follow after a line of three equal signs, and may begin with "@ " and another file.
-func Texts(root, file, change string) (map[string]string, error) {
+func ChangedFiles(root, file, change string) (map[string]string, error) {
 	texts := map[string]string{}
 	for _, one := range strings.Split(change, "\n===\n") {
 		if named, rest, ok := strings.Cut(one, "\n"); ok && strings.HasPrefix(named, "@ ") {
@@ -67,7 +67,7 @@
 
 // Find gives the mutant of a name from a tree's list; ErrUnknown if it has none.
 func Find(root, name string) (*Mutant, error) {
-	data, err := os.ReadFile(filepath.Join(root, List))
+	data, err := os.ReadFile(filepath.Join(root, ListPath))
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	}
 	name, args, err := datadriven.ParseLine(lines[0])
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", List, err)
+		return nil, fmt.Errorf("%s: %w", ListPath, err)
 	}
 	m := &Mutant{Name: name}
 	for _, arg := range args {
@@ -109,7 +109,7 @@
 
 // Apply changes the files of a tree.
 func (m *Mutant) Apply(root string) error {
-	texts, err := Texts(root, m.File, m.Change)
+	texts, err := ChangedFiles(root, m.File, m.Change)
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
--- a/bench/mutant/mutant_test.go
+++ b/bench/mutant/mutant_test.go
@@ -18,7 +18,7 @@
 	write := func(name, text string) { is.NoErr(os.WriteFile(filepath.Join(root, name), []byte(text), 0o600)) }
 	write("a.go", "package a\nkept\ngone\n")
 	write("b.go", "package b\nold\n")
-	write(List, "# Comment.\n\n# More.\nfirst file=a.go pkg=a test=A\ngone\n---\n===\n@ b.go\nold\n---\nnew\n----\ncaught\n\nstale file=a.go pkg=a test=A\nnowhere\n---\n----\ncaught\n")
+	write(ListPath, "# Comment.\n\n# More.\nfirst file=a.go pkg=a test=A\ngone\n---\n===\n@ b.go\nold\n---\nnew\n----\ncaught\n\nstale file=a.go pkg=a test=A\nnowhere\n---\n----\ncaught\n")
 	m, err := Find(root, "first")
 	is.NoErr(err)
 	is.NoErr(m.Apply(root))
--- a/bench/pairs/play.go
+++ b/bench/pairs/play.go
@@ -21,7 +21,7 @@
 
 const (
 	// mutantList is where the mechanisms stand, for the help.
-	mutantList = mutant.List
+	mutantList = mutant.ListPath
 	// baseLabel names the version that the others are compared with.
 	baseLabel = "base"
 	// maxJobs bounds the days played at once: each takes a core.
--- a/cmd/runworks/agent.go
+++ b/cmd/runworks/agent.go
@@ -12,7 +12,7 @@
 
 // addAgent adds the command that runs an agent.
 func addAgent(app *kingpin.Application) {
-	help := "Run an agent beside a backend server: decide what runs on it and when.\n\nExample: runworks agent --settings /etc/runworks/agent.yaml"
+	help := "Run an agent beside a backend server: schedule the requests that run on it.\n\nExample: runworks agent --settings /etc/runworks/agent.yaml"
 	addProcess(app, "agent", help, func(file string) (runFunc, error) {
 		settings, err := setting.LoadAgent(file)
 		if err != nil {
--- a/cmd/runworks/apply.go
+++ b/cmd/runworks/apply.go
@@ -21,8 +21,8 @@
 	cmd := app.Command("apply", "Apply a whole configuration file.\n\nExample: runworks apply -f yard.yaml --log-service http://10.0.0.9:9000")
 	file := cmd.Flag("file", "The configuration, a YAML file.").Short('f').Required().String()
 	log := cmd.Flag("log-service", "The base URL of the platform's log service.").Envar("RUNWORKS_LOG_SERVICE").Required().String()
-	base := cmd.Flag("base", "The version the file is based on; what is in force now if not given.").Default("-1").Int64()
-	timeout := cmd.Flag("timeout", "How long to wait for the log to tell.").Default(defaultApplyTimeout.String()).Duration()
+	base := cmd.Flag("base", "The version that the file is based on; by default the active version.").Default("-1").Int64()
+	timeout := cmd.Flag("timeout", "How long to wait for the result from the log service.").Default(defaultApplyTimeout.String()).Duration()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		cfg, err := readConfig(*file)
 		if err != nil {
@@ -34,12 +34,12 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("version %d is in force\n", result.Version)
+		fmt.Printf("version %d is active\n", result.Version)
 		return nil
 	})
 }
 
-// addCheck adds the command that checks a configuration file offline.
+// addCheck adds the command that validates a configuration file offline.
 func addCheck(app *kingpin.Application) {
 	cmd := app.Command("check", "Check a configuration file, offline.\n\nExample: runworks check -f yard.yaml")
 	file := cmd.Flag("file", "The configuration, a YAML file.").Short('f').Required().String()
@@ -48,7 +48,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("good: %d services, %d tiers, %d customers, %d rules\n",
+		fmt.Printf("valid: %d services, %d tiers, %d customers, %d rules\n",
 			len(cfg.Services), len(cfg.Tiers), len(cfg.Customers), len(cfg.Rules))
 		return nil
 	})
--- a/cmd/runworks/dev.go
+++ b/cmd/runworks/dev.go
@@ -9,10 +9,10 @@
 	"github.com/runworks/runworks/modules/logging"
 )
 
-// addDev adds the command that runs everything in one process.
+// addDev adds the command that runs all components in one process.
 func addDev(app *kingpin.Application) {
-	cmd := app.Command("dev", "Run all parts with stand-ins in one process.\n\nExample: runworks dev --listen 127.0.0.1:8080")
-	listen := cmd.Flag("listen", "Where to take calls, host:port.").Default("127.0.0.1:8080").String()
+	cmd := app.Command("dev", "Run all components with simulated backend servers in one process.\n\nExample: runworks dev --listen 127.0.0.1:8080")
+	listen := cmd.Flag("listen", "Address for callers, host:port.").Default("127.0.0.1:8080").String()
 	level := cmd.Flag("log-level", "trace, debug, info, warn or error.").Default("warn").String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		ctx, stop, done := stopSignals()
--- a/cmd/runworks/entry.go
+++ b/cmd/runworks/entry.go
@@ -12,7 +12,7 @@
 
 // addEntry adds the command that runs an entry.
 func addEntry(app *kingpin.Application) {
-	help := "Run an entry: take calls and own each until its answer is given.\n\nExample: runworks entry --settings /etc/runworks/entry.yaml"
+	help := "Run an entry: accept calls and own each one until its response is sent.\n\nExample: runworks entry --settings /etc/runworks/entry.yaml"
 	addProcess(app, "entry", help, func(file string) (runFunc, error) {
 		settings, err := setting.LoadEntry(file)
 		if err != nil {
--- a/cmd/runworks/front.go
+++ b/cmd/runworks/front.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// reloadSignals tells of each SIGHUP.
+// reloadSignals returns a channel that receives a value for each SIGHUP.
 func reloadSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/cmd/runworks/main.go
+++ b/cmd/runworks/main.go
@@ -1,4 +1,4 @@
-// Command runworks schedules requests for unlike engines.
+// Command runworks schedules requests for heterogeneous engines.
 package main
 
 import (
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	app := kingpin.New("runworks", "A request scheduler for unlike engines.")
+	app := kingpin.New("runworks", "A request scheduler for heterogeneous engines.")
 	app.HelpFlag.Short('h')
 	app.Version(daemon.Version)
 	commands := []func(*kingpin.Application){addEntry, addAgent, addFront, addApply, addCheck, addStatus, addDev, addVersion}
@@ -27,8 +27,8 @@
 	}
 }
 
-// stopSignals gives a context that the second signal ends, and a channel that the
-// first one closes.
+// stopSignals returns a channel that the first SIGTERM or SIGINT closes and a context that the
+// second one cancels. done releases both.
 func stopSignals() (ctx context.Context, stop <-chan struct{}, done func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	received := make(chan os.Signal, 2)
--- a/cmd/runworks/process.go
+++ b/cmd/runworks/process.go
@@ -7,11 +7,11 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// runFunc runs a process until stop is closed and its planned stop is over.
+// runFunc runs a process until stop is closed and its planned stop is complete.
 type runFunc func(ctx context.Context, stop <-chan struct{}) error
 
-// addProcess adds a command that runs a process by its settings, or only checks
-// them. load reads the settings and gives what runs the process.
+// addProcess adds a command that runs a process with the settings in a file, or only validates them.
+// load reads the settings and returns the function that runs the process.
 func addProcess(app *kingpin.Application, name, help string, load func(file string) (runFunc, error)) {
 	cmd := app.Command(name, help)
 	file := cmd.Flag("settings", "The settings, a YAML file.").Required().String()
@@ -22,7 +22,7 @@
 			return err
 		}
 		if *check {
-			fmt.Println("the settings are good")
+			fmt.Println("the settings are valid")
 			return nil
 		}
 		ctx, stop, done := stopSignals()
--- a/cmd/runworks/status.go
+++ b/cmd/runworks/status.go
@@ -20,9 +20,9 @@
 
 const statusTimeout = 5 * time.Second
 
-// addStatus adds the command that shows what an entry sees.
+// addStatus adds the command that prints the status of an entry.
 func addStatus(app *kingpin.Application) {
-	cmd := app.Command("status", "Show what is in force and the load, as an entry sees it.\n\nExample: runworks status --operators http://10.0.0.1:9080")
+	cmd := app.Command("status", "Show the active configuration and the load, as seen by an entry.\n\nExample: runworks status --operators http://10.0.0.1:9080")
 	address := cmd.Flag("operators", "The operators' base URL of an entry.").Envar("RUNWORKS_OPERATORS").Required().String()
 	output := cmd.Flag("output", "text or json.").Short('o').Default("text").Enum("text", "json")
 	cmd.Action(func(*kingpin.ParseContext) error {
@@ -42,16 +42,16 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"/status", nil)
 	if err != nil {
-		return nil, errorx.Decorate(err, "build the question")
+		return nil, errorx.Decorate(err, "build the status request")
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errorx.Decorate(err, "ask the entry")
+		return nil, errorx.Decorate(err, "request the status of the entry")
 	}
 	defer func() { _ = res.Body.Close() }()
 	var status entry.Status
 	if err := json.NewDecoder(res.Body).Decode(&status); err != nil {
-		return nil, errorx.Decorate(err, "read the entry's status")
+		return nil, errorx.Decorate(err, "decode the status of the entry")
 	}
 	return &status, nil
 }
@@ -64,7 +64,7 @@
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\n", name, s.Tiers[name].Waiting, s.Tiers[name].Running)
 	}
 	_ = w.Flush()
-	_, _ = fmt.Fprintln(out, "\nSlots, running and waiting are as each agent last reported, some seconds ago.")
+	_, _ = fmt.Fprintln(out, "\nSlots, running and waiting are as each agent last reported, up to some seconds ago.")
 	_, _ = fmt.Fprintln(w, "HOST\tBACKEND SERVER\tCONNECTED\tLEAVING\tCONFIGURATION\tSLOTS\tRUNNING\tWAITING")
 	for _, a := range s.Agents {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%t\t%t\t%d\t%d\t%d\t%d\n", a.Host, a.Server, a.Connected, a.Draining, a.Version, a.Slots, a.Running, a.Waiting)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin runs one stand-in as a process of its own, for tests.
+// Command standin runs one simulated backend server or platform service as a separate process, for
+// tests.
 package main
 
 import (
@@ -17,8 +18,8 @@
 )
 
 func main() {
-	app := kingpin.New("standin", "A stand-in for a backend server or for the platform.")
-	listen := app.Flag("listen", "Where to listen, host:port; port 0 lets the kernel pick.").Default("127.0.0.1:0").String()
+	app := kingpin.New("standin", "A simulated backend server or platform service.")
+	listen := app.Flag("listen", "Address to listen on, host:port; port 0 selects a free port.").Default("127.0.0.1:0").String()
 	addEngine(app, listen)
 	addPlain(app, listen)
 	addLog(app, listen)
@@ -31,11 +32,11 @@
 	}
 }
 
-// activeListener is what the process listens on.
+// activeListener is the listener of the process.
 var activeListener net.Listener
 
-// exit ends the process. It refuses connections first: the kernel closes what a process has
-// open in any order.
+// exit exits the process. It closes the listener first, so that no connection is accepted after an
+// open one is closed: the kernel closes the sockets of a process in any order.
 func exit() {
 	_ = activeListener.Close()
 	os.Exit(1)
@@ -56,18 +57,18 @@
 func addEngine(app *kingpin.Application, listen *string) {
 	cmd := app.Command("engine", "A model engine.")
 	e := &standin.Engine{}
-	cmd.Flag("name", "Its name in load reports.").Default("engine").StringVar(&e.Name)
-	cmd.Flag("slots", "Requests at once.").Default("8").IntVar(&e.Slots)
-	cmd.Flag("prefill", "Prompt tokens a second.").Default("8000").Float64Var(&e.PrefillPerSecond)
-	cmd.Flag("decode", "Answer tokens a second.").Default("100").Float64Var(&e.DecodePerSecond)
+	cmd.Flag("name", "Name in load reports.").Default("engine").StringVar(&e.Name)
+	cmd.Flag("slots", "Concurrent requests.").Default("8").IntVar(&e.Slots)
+	cmd.Flag("prefill", "Prompt tokens per second.").Default("8000").Float64Var(&e.PrefillPerSecond)
+	cmd.Flag("decode", "Output tokens per second.").Default("100").Float64Var(&e.DecodePerSecond)
 	cmd.Flag("cached-prompts", "Prompts kept in the prefix cache.").Default("0").IntVar(&e.CachedPrompts)
-	cmd.Flag("report-lag", "How old load reports are.").Default("1s").DurationVar(&e.ReportLag)
+	cmd.Flag("report-lag", "Age of load reports.").Default("1s").DurationVar(&e.ReportLag)
 	cmd.Action(func(*kingpin.ParseContext) error { return serve(*listen, e.Handler()) })
 }
 
 func addPlain(app *kingpin.Application, listen *string) {
 	cmd := app.Command("plain", "A plain service.")
-	p := &standin.Plain{}
+	p := &standin.PlainService{}
 	cmd.Flag("delay", "How long a call takes.").Default("0s").DurationVar(&p.Delay)
 	cmd.Action(func(*kingpin.ParseContext) error { return serve(*listen, p.Handler()) })
 }
@@ -75,15 +76,15 @@
 func addLog(app *kingpin.Application, listen *string) {
 	cmd := app.Command("log", "The log service.")
 	l := &standin.Log{}
-	cmd.Flag("rate", "Appends a second.").Default("100").Float64Var(&l.AppendsPerSecond)
-	cmd.Flag("retain", "How long records are kept; 0s keeps them for good.").Default("0s").DurationVar(&l.Retain)
+	cmd.Flag("rate", "Appends per second.").Default("100").Float64Var(&l.AppendsPerSecond)
+	cmd.Flag("retain", "How long records are kept; 0s keeps them forever.").Default("0s").DurationVar(&l.Retain)
 	cmd.Action(func(*kingpin.ParseContext) error { return serve(*listen, l.Handler()) })
 }
 
 func addHosts(app *kingpin.Application, listen *string) {
 	cmd := app.Command("hosts", "The host list.")
 	h := &standin.Hosts{}
-	cmd.Flag("lag", "How old the list is that readers get.").Default("0s").DurationVar(&h.Lag)
+	cmd.Flag("lag", "Age of the list that readers receive.").Default("0s").DurationVar(&h.Lag)
 	cmd.Action(func(*kingpin.ParseContext) error { return serve(*listen, h.Handler()) })
 }
 
@@ -95,11 +96,11 @@
 
 func addRouted(app *kingpin.Application, listen *string) {
 	cmd := app.Command("routed", "A backend server of the users' platform.")
-	b := &standin.Routed{}
-	printCalls := cmd.Flag("tell", "Print a line for each call before it runs, as the process may be killed.").Bool()
-	cmd.Flag("instance", "The id of its life.").Required().StringVar(&b.Instance)
-	cmd.Flag("delay", "How long a call runs, and the time between events.").Default("0s").DurationVar(&b.Delay)
-	exitOn := cmd.Flag("end-on", "End the process as it begins to run a call with this text in its body.").String()
+	b := &standin.RoutedServer{}
+	printCalls := cmd.Flag("tell", "Print a line for each call before it runs, since the process may be killed.").Bool()
+	cmd.Flag("instance", "Incarnation ID of the server.").Required().StringVar(&b.Instance)
+	cmd.Flag("delay", "How long a call runs, and the interval between events.").Default("0s").DurationVar(&b.Delay)
+	exitOn := cmd.Flag("end-on", "Exit when a call with this text in its body starts to run.").String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		b.OnCall = func(c standin.RoutedCall) {
 			if *printCalls {
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -18,24 +18,24 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// Agent runs an agent by its settings.
+// Agent runs an agent with the given settings.
 type Agent struct {
 	Settings *setting.Agent
 	Deps     Deps
-	// Connect builds the way to the backend server; nil is HTTP.
+	// Connect returns a client of the backend server; nil means HTTP.
 	Connect func(kind runworks.ServiceKind, address string) runworks.Backend
 
-	// BeforeStart, unless nil, may change what the settings do not name, before the start.
+	// BeforeStart, if not nil, is called before the start and may set fields that have no setting.
 	BeforeStart func(*agent.Agent)
-	// Started, unless nil, is closed by Run once Agent and Config are set.
+	// Started, if not nil, is closed by Run once Agent and Config are set.
 	Started chan struct{}
 	// Agent and Config are set by Run before it serves.
 	Agent  *agent.Agent
 	Config *config.Follower
 }
 
-// Run runs until stop is closed and the planned stop is over; the end of ctx
-// cuts everything.
+// Run runs until stop is closed and the planned stop is complete. When ctx is canceled, it returns
+// at once and calls in progress are cut off.
 func (d *Agent) Run(ctx context.Context, stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// build puts the parts together.
+// build assembles the components.
 func (d *Agent) build() (*httpServers, error) {
 	s, deps := d.Settings, &d.Deps
 	metricSet, err := newMetrics()
@@ -86,7 +86,7 @@
 	d.Agent = &agent.Agent{
 		Name: s.Name, Server: s.Server, ProgramVersion: Version, Config: d.Config, Connect: d.Connect,
 		Logger: deps.Logger, Metrics: metricSet, Tracer: deps.Tracer,
-		MaxWaiting: s.MaxWaiting, MaxAnswerBytes: s.MaxAnswerBytes, KeySkew: s.KeySkew,
+		MaxWaiting: s.MaxWaiting, MaxResponseBytes: s.MaxAnswerBytes, KeySkew: s.KeySkew,
 	}
 	if d.BeforeStart != nil {
 		d.BeforeStart(d.Agent)
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// drain finishes what runs, and lets the last bytes of the answers go out.
+// drain waits until running requests have ended and their responses are sent, up to the stop limit.
 func (d *Agent) drain(ctx context.Context, server *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, d.Settings.StopLimit)
 	defer cancel()
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,3 +1,3 @@
-// Package daemon puts the parts of an entry and of an agent together and runs
-// them until a planned stop is over. Commands and tests use it alike.
+// Package daemon assembles the components of an entry, an agent or a front and runs them until a
+// planned stop is complete. Commands and tests use it.
 package daemon
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -19,14 +19,14 @@
 	"github.com/runworks/runworks/services/entry"
 )
 
-// Entry runs an entry by its settings.
+// Entry runs an entry with the given settings.
 type Entry struct {
 	Settings *setting.Entry
 	Deps     Deps
 
-	// BeforeStart, unless nil, may change what the settings do not name, before the start.
+	// BeforeStart, if not nil, is called before the start and may set fields that have no setting.
 	BeforeStart func(*entry.Entry)
-	// Started, unless nil, is closed by Run once Entry and Config are set.
+	// Started, if not nil, is closed by Run once Entry and Config are set.
 	Started chan struct{}
 	// Entry and Config are set by Run before it serves.
 	Entry  *entry.Entry
@@ -36,8 +36,8 @@
 	shares   *admission.Shares
 }
 
-// Run runs until stop is closed and the planned stop is over; the end of ctx
-// cuts everything.
+// Run runs until stop is closed and the planned stop is complete. When ctx is canceled, it returns
+// at once and calls in progress are cut off.
 func (d *Entry) Run(ctx context.Context, stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// build puts the parts together.
+// build assembles the components.
 func (d *Entry) build() (*httpServers, error) {
 	s, deps := d.Settings, &d.Deps
 	if deps.Hosts == nil {
@@ -108,11 +108,11 @@
 	return d.Entry.Ready()
 }
 
-// drain turns readiness red, goes on until the balancer has noticed, and then
-// finishes what is there.
+// drain reports not ready, keeps serving until the load balancer has noticed, and then waits until
+// the remaining calls have ended, up to the stop limit.
 func (d *Entry) drain(ctx context.Context, server *http.Server) {
 	d.draining.Store(true)
-	d.Deps.Logger.Info("planned stop: not ready from now on", "balancer_delay", d.Settings.BalancerDelay)
+	d.Deps.Logger.Info("planned stop: reporting not ready", "balancer_delay", d.Settings.BalancerDelay)
 	select {
 	case <-ctx.Done():
 		return
--- a/daemon/front.go
+++ b/daemon/front.go
@@ -31,23 +31,22 @@
 )
 
 const (
-	// heapFraction is the part of the memory limit that the Go heap may take: the
-	// rest is for stacks and for bytes that wait in sockets.
+	// heapFraction is the fraction of the memory limit that the Go heap may take. The rest is for
+	// stacks and socket buffers.
 	heapFraction = 0.6
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout limits the time to read the header of a request.
 	headerTimeout = 3 * time.Second
-	// idleTimeout bounds how long a caller's connection rests, as long as no routing
-	// says otherwise.
+	// idleTimeout limits how long a caller's connection may be idle, unless the routing sets a limit.
 	idleTimeout = 15 * time.Second
 )
 
-// Front runs a front by its settings.
+// Front runs a front with the given settings.
 type Front struct {
 	Settings *setting.Front
 	Logger   hclog.Logger
-	// DroppedLines gives how many log lines were dropped; nil is none.
+	// DroppedLines returns how many log lines were dropped; nil means that none are.
 	DroppedLines func() int64
-	// Reload is told to read the settings again; LoadSettings reads them.
+	// Reload receives a value when the settings must be reloaded, with LoadSettings.
 	Reload       <-chan struct{}
 	LoadSettings func() (*setting.Front, error)
 
@@ -59,41 +58,41 @@
 	budgets    *forward.Budgets
 	exchange   *peers.Exchange
 	front      *platform.Front
-	// routingRecord is the record of the routing in force, and routingMu lets one newer follow.
+	// routingRecord is the record of the active routing. routingMu serializes its replacement.
 	routingRecord atomic.Pointer[platform.Record]
 	routingMu     sync.Mutex
-	// newestReportedRouting is the newest version of the routing that another front told of.
+	// newestReportedRouting is the newest routing version that another front reported.
 	newestReportedRouting atomic.Int64
 	// started is when Run began.
 	started time.Time
-	// serversMu guards what is known of the backend servers' records.
+	// serversMu guards servers, expiryFilter and unrouted.
 	serversMu    sync.Mutex
 	servers      platform.Servers
 	expiryFilter dispatch.ExpiryFilter
-	// unrouted are the lives of servers whose services no route names, as they were told of.
+	// unrouted holds the incarnations of servers whose service has no route and that were logged.
 	unrouted map[string]bool
-	// pool keeps the connections to backend servers.
+	// pool holds the idle connections to backend servers.
 	pool *httpconn.Pool
-	// ctx ends with Run.
+	// ctx is canceled when Run returns.
 	ctx     context.Context
 	store   *platform.Store
 	watches map[peers.Subject]*platform.Watch
 	members *platform.Members
 	limits  *platform.LimitUsage
-	// suspects keeps the quarantine's record.
+	// suspects stores the suspects of the quarantine.
 	suspects *platform.Suspects
-	// requesting holds the subjects that another front is being asked for.
+	// requesting is set for a subject while its state is requested from another front.
 	requesting    map[peers.Subject]*atomic.Bool
 	work          group.Group
 	draining      atomic.Bool
 	serversListed atomic.Bool
-	// initialized is closed once the front has read its state.
+	// initialized is closed once the front has loaded its state; calls are held until then.
 	initialized    chan struct{}
 	initializeOnce sync.Once
 }
 
-// Run runs until stop is closed and the planned stop is over; the end of ctx
-// cuts everything.
+// Run runs until stop is closed and the planned stop is complete. When ctx is canceled, it returns
+// at once and calls in progress are cut off.
 func (d *Front) Run(ctx context.Context, stop <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -133,7 +132,7 @@
 	return nil
 }
 
-// applyResourceLimits keeps the process inside its share of the host.
+// applyResourceLimits limits the cores and the memory that the process uses, as set.
 func (d *Front) applyResourceLimits() {
 	if d.Settings.Cores > 0 {
 		runtime.GOMAXPROCS(d.Settings.Cores)
@@ -143,8 +142,8 @@
 	}
 }
 
-// build puts the parts together; address is where other fronts reach this one.
-// The function it gives sends the last spans.
+// build assembles the components; address is where other fronts reach this one. The returned
+// function sends the last trace spans.
 func (d *Front) build(ctx context.Context, address string) (func(), error) {
 	s := d.Settings
 	var err error
@@ -194,7 +193,7 @@
 	return flushSpans, nil
 }
 
-// The listeners of a front.
+// Indices of the listeners of a front.
 const (
 	callersListener = iota
 	balancerListener
@@ -226,7 +225,7 @@
 	}
 }
 
-// buildServers builds the servers of the listeners.
+// buildServers returns one HTTP server for each listener.
 func (d *Front) buildServers(listeners []net.Listener) []*http.Server {
 	operatorRoutes := &operators.Routes{Ready: d.ready, Metrics: d.metrics, Status: func() any { return d.status() }, Release: d.release}
 	handlers := []http.Handler{
@@ -242,7 +241,7 @@
 	return out
 }
 
-// idleLimit is how long a caller's connection may rest now.
+// idleLimit returns how long a caller's connection may be idle.
 func (d *Front) idleLimit() time.Duration {
 	if table := d.forwarder.Table.Load(); table != nil && table.Routing.Limits.IdleTimeout > 0 {
 		return table.Routing.Limits.IdleTimeout
@@ -250,7 +249,7 @@
 	return idleTimeout
 }
 
-// ready says whether the front can take calls.
+// ready returns nil if the front can take calls, or the reason why it cannot.
 func (d *Front) ready() error {
 	switch {
 	case d.draining.Load():
@@ -271,7 +270,8 @@
 	return nil
 }
 
-// admitHeldCalls lets the calls go on that were held until the front has read its state.
+// admitHeldCalls releases the calls that were held since the start, if the front has loaded its
+// state.
 func (d *Front) admitHeldCalls() {
 	if d.isInitialized() {
 		return
@@ -281,7 +281,7 @@
 	}
 }
 
-// reload puts changed settings in force where that needs no start.
+// reload applies changed settings, of those that need no restart.
 func (d *Front) reload(ctx context.Context) {
 	for {
 		select {
@@ -291,10 +291,10 @@
 		}
 		s, err := d.LoadSettings()
 		if err != nil {
-			d.Logger.Error("settings refused, the ones in force stay", "error", err.Error())
+			d.Logger.Error("settings refused; keeping the active settings", "error", err.Error())
 			continue
 		}
 		d.budgets.Configure(s.RetryRatio, s.RetrySlack)
-		d.Logger.Info("settings read again", "retry_ratio", s.RetryRatio, "retry_slack", s.RetrySlack)
+		d.Logger.Info("settings reloaded", "retry_ratio", s.RetryRatio, "retry_slack", s.RetrySlack)
 	}
 }
--- a/daemon/front_routing.go
+++ b/daemon/front_routing.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// routingGrace, and routingPerFront for each front, is how long a newer routing of another
-	// front is waited for, which as a rule is told or can be read from the store: from an older
-	// copy it can't.
+	// routingGrace, plus routingGracePerFront for each other front, is how long a front waits for a
+	// newer routing to arrive in a change or from the store before it requests it from another front.
+	// The request is needed if the store was restored from an older copy.
 	routingGrace         = time.Second
 	routingGracePerFront = 5 * time.Millisecond
-	// routingTimeout bounds how long a front that starts takes no calls as another front has a
-	// newer routing that it can't get.
+	// routingTimeout limits how long a starting front takes no calls because another front has a newer
+	// routing that it has not received.
 	routingTimeout = 2 * time.Second
 )
 
-// routingVersion is the version of the routing in force; 0 is none.
+// routingVersion returns the version of the active routing, or 0 if there is none.
 func (d *Front) routingVersion() int64 {
 	if table := d.forwarder.Table.Load(); table != nil {
 		return table.Routing.Version
@@ -26,9 +26,9 @@
 	return 0
 }
 
-// catchUpRouting asks another front for its routing if that is newer and does not come by
-// itself: a front that starts after the store came back may find an older one there. Before it
-// has looked it asks nobody: of many that start at once all would ask the first.
+// catchUpRouting requests the routing of another front if it is newer and does not arrive otherwise:
+// a store restored from an older copy may hold an older one. A front that has not yet read the store
+// requests nothing, as otherwise all fronts that start at once would request it from the first.
 func (d *Front) catchUpRouting(from string, version int64) {
 	if version <= d.routingVersion() {
 		return
@@ -49,7 +49,7 @@
 	})
 }
 
-// noteRoutingVersion notes a version of the routing that another front told of.
+// noteRoutingVersion records a routing version that another front reported.
 func (d *Front) noteRoutingVersion(version int64) {
 	newest := d.newestReportedRouting.Load()
 	for version > newest && !d.newestReportedRouting.CompareAndSwap(newest, version) {
@@ -57,12 +57,13 @@
 	}
 }
 
-// routingBehind says whether another front told of a newer routing, which is still to come.
+// routingBehind reports whether another front reported a newer routing that this front still waits
+// for.
 func (d *Front) routingBehind(now time.Time) bool {
 	return d.newestReportedRouting.Load() > d.routingVersion() && now.Sub(d.started) < routingTimeout
 }
 
-// isInitialized says whether calls are let through.
+// isInitialized reports whether the front has loaded its state and admits calls.
 func (d *Front) isInitialized() bool {
 	select {
 	case <-d.initialized:
--- a/daemon/front_servers.go
+++ b/daemon/front_servers.go
@@ -12,7 +12,7 @@
 	"github.com/runworks/runworks/services/dispatch"
 )
 
-// onServers puts the list of backend servers in force.
+// onServers applies new records of backend servers.
 func (d *Front) onServers(records []platform.Record, apply func([]platform.Record) []platform.BadRecord, restored bool) {
 	d.serversMu.Lock()
 	defer d.serversMu.Unlock()
@@ -28,13 +28,13 @@
 	d.admitHeldCalls()
 }
 
-// noteBadRecord counts and logs a record that names no backend server to use.
+// noteBadRecord counts and logs a record that does not describe a usable backend server.
 func (d *Front) noteBadRecord(bad platform.BadRecord) {
 	metrics.Count(d.metrics.BadRecords)
 	d.Logger.Error("record names no backend server to use", "key", bad.Key, "error", bad.Err.Error())
 }
 
-// onServicesChanged looks again for servers whose services are routed to.
+// onServicesChanged applies the list of servers again after the set of routed services changed.
 func (d *Front) onServicesChanged() {
 	d.serversMu.Lock()
 	defer d.serversMu.Unlock()
@@ -43,8 +43,8 @@
 	}
 }
 
-// withRoutes gives the servers of the services that the routing names. The others are told of
-// once, and kept for a routing that names theirs.
+// withRoutes returns the servers whose services the active routing names. The others are logged
+// once each, and used when a later routing names their services.
 func (d *Front) withRoutes(list []runworks.Instance) []runworks.Instance {
 	table := d.forwarder.Table.Load()
 	if table == nil {
@@ -66,13 +66,13 @@
 	return out
 }
 
-// applyServers puts the list in force, and again when the time of those is over whose
-// records the store may have lost, or may have from before they went.
+// applyServers applies the list of servers. It does so again after the grace period of records that
+// the store may have lost, or restored from before their servers were removed.
 func (d *Front) applyServers(now time.Time) {
 	list, again := d.expiryFilter.Merge(now, d.withRoutes(d.servers.List()))
 	change := d.dispatcher.SetServers(list)
 	if again > 0 {
-		d.Logger.Warn("records of backend servers are in doubt, looked at again in a while", "known", len(list), "for_ms", again.Milliseconds())
+		d.Logger.Warn("records of backend servers may be lost or outdated; checking again later", "known", len(list), "for_ms", again.Milliseconds())
 		d.work.Go(func() {
 			pause.For(d.ctx, again)
 			d.serversMu.Lock()
@@ -81,55 +81,55 @@
 		})
 	}
 	for _, one := range change.Added {
-		d.Logger.Info("backend server known", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address, "hall", one.Hall, "leaving", one.Draining)
+		d.Logger.Info("backend server added", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address, "hall", one.Hall, "leaving", one.Draining)
 	}
 	for _, one := range change.Withdrawn {
-		d.Logger.Info("backend server leaves", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
+		d.Logger.Info("backend server draining or removed", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
 	for _, one := range change.Exited {
 		d.attributeExits(&one)
 	}
 	for _, one := range change.Restarted {
 		d.pool.CloseIdle(one.Address)
-		d.Logger.Warn("backend server started again, its calls are lost", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
+		d.Logger.Warn("backend server restarted; its calls are lost", "server", one.ID, "born", one.Generation, "service", one.Service, "address", one.Address)
 	}
 }
 
 func (d *Front) onEject(server runworks.Instance, failures int, wait time.Duration) {
-	d.Logger.Warn("backend server left out", "server", server.ID, "service", server.Service, "failures", failures, "for_ms", wait.Milliseconds())
+	d.Logger.Warn("backend server ejected", "server", server.ID, "service", server.Service, "failures", failures, "for_ms", wait.Milliseconds())
 }
 
 func (d *Front) onUnresponsive(server runworks.Instance, unresponsive bool) {
 	if unresponsive {
-		d.Logger.Warn("backend server silent, left out until it is heard", "server", server.ID, "service", server.Service)
+		d.Logger.Warn("backend server unresponsive; ejected until it responds", "server", server.ID, "service", server.Service)
 		return
 	}
-	d.Logger.Info("backend server heard again", "server", server.ID, "service", server.Service)
+	d.Logger.Info("backend server responds again", "server", server.ID, "service", server.Service)
 }
 
 func (d *Front) onPeerEject(server runworks.Instance, fronts int) {
 	if fronts > 0 {
-		d.Logger.Warn("backend server left out by other fronts", "server", server.ID, "service", server.Service, "fronts", fronts)
+		d.Logger.Warn("backend server ejected by other fronts", "server", server.ID, "service", server.Service, "fronts", fronts)
 		return
 	}
-	d.Logger.Info("backend server left out by no other front any more", "server", server.ID, "service", server.Service)
+	d.Logger.Info("backend server no longer ejected by other fronts", "server", server.ID, "service", server.Service)
 }
 
 func (d *Front) onRateLimit(server runworks.Instance, c dispatch.LimitChange) {
 	if !c.Limit.Named {
-		d.Logger.Info("backend server limits its requests no more", "server", server.IncarnationID(), "service", server.Service, "told_by", c.From)
+		d.Logger.Info("backend server no longer limits its request rate", "server", server.IncarnationID(), "service", server.Service, "told_by", c.From)
 		return
 	}
-	d.Logger.Warn("backend server limits its requests", "server", server.IncarnationID(), "service", server.Service, "per_second", c.Limit.PerSecond, "told_by", c.From,
+	d.Logger.Warn("backend server limits its request rate", "server", server.IncarnationID(), "service", server.Service, "per_second", c.Limit.PerSecond, "told_by", c.From,
 		"part_per_second", c.Share.PerSecond, "part_at_once", c.Share.Burst, "entries", c.Entries)
 }
 
 func (d *Front) onDraining(server runworks.Instance, from string) {
 	metrics.Count(d.metrics.ServerReports, metrics.ReportKind("leaving"))
-	d.Logger.Info("backend server says that it leaves", "server", server.IncarnationID(), "service", server.Service, "address", server.Address, "told_by", from)
+	d.Logger.Info("backend server announced that it is draining", "server", server.IncarnationID(), "service", server.Service, "address", server.Address, "told_by", from)
 }
 
 func (d *Front) onBackoff(server runworks.Instance, duration time.Duration) {
 	metrics.Count(d.metrics.ServerReports, metrics.ReportKind("rest"))
-	d.Logger.Warn("backend server asks for rest", "server", server.IncarnationID(), "service", server.Service, "for_ms", duration.Milliseconds())
+	d.Logger.Warn("backend server requested a back-off", "server", server.IncarnationID(), "service", server.Service, "for_ms", duration.Milliseconds())
 }
--- a/daemon/front_status.go
+++ b/daemon/front_status.go
@@ -7,16 +7,16 @@
 	"github.com/runworks/runworks/services/quarantine"
 )
 
-// FrontStatus is what a front tells operators.
+// FrontStatus is the status that a front reports to operators.
 type FrontStatus struct {
 	RoutingVersion int64                   `json:"routing_version"`
 	Fronts         int                     `json:"fronts"`
 	Servers        []dispatch.ServerStatus `json:"servers"`
 	Waiting        map[string]int          `json:"waiting"`
-	// LimitsUsed is what this front counts as drawn in the window, in tokens, by
-	// customer; fronts in touch agree on it.
+	// LimitsUsed is the usage of each customer's limit in the current window, in tokens, as this
+	// front counts it. Fronts that are connected agree on it.
 	LimitsUsed map[string]float64 `json:"limits_used"`
-	// Suspects are the requests under which backend servers ended, and whether they are held.
+	// Suspects are the requests with attributed server exits, and whether they are quarantined.
 	Suspects []quarantine.Report `json:"suspects"`
 }
 
--- a/daemon/front_stop.go
+++ b/daemon/front_stop.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// stopMargin is how much before the end of the grace a stop is over.
+	// stopMargin is how long before the end of the grace period a stop must be complete.
 	stopMargin = 700 * time.Millisecond
-	// stopPollInterval is how often a planned stop looks whether calls are left, and
-	// shortCalls is the time before its end from which it takes none at all.
+	// stopPollInterval is how often a planned stop checks whether calls are left.
 	stopPollInterval = 20 * time.Millisecond
-	shutdownMargin   = time.Second
-	// abortMargin is how much before the end calls without an answer get one: some times
-	// the way of an answer. Three calls of a burst that waited at fronts which were stopped
-	// in turn were cut without a word.
+	// shutdownMargin is how long before its end a planned stop closes the listener for new calls.
+	shutdownMargin = time.Second
+	// abortMargin is how long before the end calls without a response are aborted with an error
+	// response: several times the time that a response takes to reach the caller. Without it, three calls
+	// of a burst that waited at fronts stopped one after the other got no response.
 	abortMargin = 300 * time.Millisecond
 )
 
-// drain turns readiness red and goes on until the balancer has noticed. Then it
-// takes no streams any more, but goes on with short calls, as callers may know of no
-// other front, until what ran has its answer.
+// drain reports not ready and keeps serving until the load balancer has noticed. Then it refuses new
+// streams but still takes short calls, as callers may know no other front, until the calls in
+// progress have their responses.
 func (d *Front) drain(ctx context.Context, server *http.Server) {
 	end := time.Now().Add(d.Settings.Grace - stopMargin)
 	d.draining.Store(true)
 	d.front.Closing.Store(true)
-	d.Logger.Info("planned stop: not ready from now on", "stop_notice", d.Settings.StopNotice.String(), "grace", d.Settings.Grace.String())
+	d.Logger.Info("planned stop: reporting not ready", "stop_notice", d.Settings.StopNotice.String(), "grace", d.Settings.Grace.String())
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	pause.For(ctx, d.Settings.StopNotice)
--- a/daemon/front_sync.go
+++ b/daemon/front_sync.go
@@ -17,11 +17,11 @@
 	"github.com/runworks/runworks/services/route"
 )
 
-// maxChangeBytes bounds the changes that a front tells all others: with a hundred of them, on
-// a link of 20 Mbit/s, so much is sent within 1.3 s. What is larger each reads itself.
+// maxChangeBytes limits the changes that a front sends to all others: to a hundred of them, over a
+// link of 20 Mbit/s, this takes 1.3 s. The others read larger changes from the store.
 const maxChangeBytes = 32 << 10
 
-// buildWatches builds what keeps this front's knowledge up to date.
+// buildWatches builds the components that follow the topics of the store.
 func (d *Front) buildWatches() {
 	routing := &platform.Watch{Topic: platform.TopicOperators, OnChange: d.onRouting}
 	routing.OnState = func(records []platform.Record, _ bool) { d.onRouting(records) }
@@ -44,7 +44,7 @@
 	d.limits = &platform.LimitUsage{Store: d.store, Quota: d.quota, Logger: d.Logger, OnLoaded: d.admitHeldCalls}
 }
 
-// startSync keeps this front's knowledge up to date.
+// startSync starts the components that keep this front's state up to date.
 func (d *Front) startSync(ctx context.Context, wg *conc.WaitGroup) {
 	wg.Go(func() { d.exchange.Run(ctx) })
 	wg.Go(func() { d.dispatcher.Run(ctx) })
@@ -57,7 +57,7 @@
 	wg.Go(func() { d.watchSuspensions(ctx) })
 }
 
-// state gives what this front knows of a subject, for other fronts.
+// state returns this front's state of a subject, for other fronts.
 func (d *Front) state(subject peers.Subject) (any, error) {
 	if subject == peers.SubjectLimits {
 		return d.quota.State(time.Now()), nil
@@ -76,27 +76,27 @@
 	return s, nil
 }
 
-// sendChange tells the other fronts what this one read from the store.
+// sendChange sends a page read from the store to the other fronts.
 func (d *Front) sendChange(subject peers.Subject, from runworks.Position, page *platform.Page) {
 	size := 0
 	for _, r := range page.Records {
 		size += len(r.Key) + len(r.Value)
 	}
 	if size > maxChangeBytes {
-		return // they read it themselves, as their positions show it
+		return // the others see from this front's position that they must read the store
 	}
 	d.exchange.SendChange(peers.Change{Subject: subject, From: from, Next: page.Next, Records: page.Records})
 }
 
-// applyChange takes what another front read from the store.
+// applyChange applies a page that another front read from the store.
 func (d *Front) applyChange(from string, c *peers.Change) {
 	if w := d.watches[c.Subject]; w != nil && w.ApplyChanges(c.From, c.Next, c.Records) {
-		d.Logger.Info("changes told by another front", "name", from, "subject", c.Subject, "era", c.Next.Era, "from_offset", c.From.Offset, "offset", c.Next.Offset, "records", len(c.Records))
+		d.Logger.Info("applied changes from another front", "name", from, "subject", c.Subject, "era", c.Next.Era, "from_offset", c.From.Offset, "offset", c.Next.Offset, "records", len(c.Records))
 	}
 }
 
-// catchUp learns what another front knows already: from the store, or from that
-// front while the store can't be read.
+// catchUp gets the state of a subject up to the position of another front: from the store, or from
+// that front while the store cannot be read.
 func (d *Front) catchUp(from string, subject peers.Subject, position runworks.Position) {
 	w := d.watches[subject]
 	if w == nil || !position.After(w.Position()) {
@@ -109,7 +109,7 @@
 	d.requestOnce(subject, func() { d.syncFromPeer(from, subject, w) })
 }
 
-// requestOnce runs a question to another front, unless one on the subject is on its way.
+// requestOnce runs a request to another front, unless one for the subject is in progress.
 func (d *Front) requestOnce(subject peers.Subject, request func()) {
 	requesting := d.requesting[subject]
 	if !requesting.CompareAndSwap(false, true) {
@@ -121,31 +121,31 @@
 	})
 }
 
-// requestState asks another front for what it knows of a subject, and says whether it told.
+// requestState requests another front's state of a subject and reports whether it was received.
 func (d *Front) requestState(from string, subject peers.Subject, out any) bool {
 	err := d.exchange.RequestState(context.Background(), from, subject, out)
 	if err != nil {
-		d.Logger.Warn("another front could not be asked", "name", from, "subject", subject, "error", err.Error())
+		d.Logger.Warn("request for the state of another front failed", "name", from, "subject", subject, "error", err.Error())
 	}
 	return err == nil
 }
 
-// syncFromPeer asks another front for what it knows of a subject.
+// syncFromPeer requests and applies another front's state of a subject.
 func (d *Front) syncFromPeer(from string, subject peers.Subject, w *platform.Watch) {
 	var s platform.Snapshot
 	if !d.requestState(from, subject, &s) {
 		return
 	}
 	if w.ApplySnapshot(&s) {
-		d.Logger.Info("learned from another front", "name", from, "subject", subject, "era", s.Era, "offset", s.Offset)
+		d.Logger.Info("applied the state of another front", "name", from, "subject", subject, "era", s.Era, "offset", s.Offset)
 		return
 	}
 	if subject == peers.SubjectRouting {
-		d.onRouting(s.Records) // the document is ordered by its version, wherever it comes from
+		d.onRouting(s.Records) // the version orders routing documents, whatever their source
 	}
 }
 
-// onRouting puts the newest document in force; it never goes back to an older one.
+// onRouting activates the newest routing document, and never an older one than the active one.
 func (d *Front) onRouting(records []platform.Record) {
 	d.routingMu.Lock()
 	defer d.routingMu.Unlock()
@@ -155,7 +155,7 @@
 		}
 		routing, err := platform.DecodeRouting(r.Value)
 		if err != nil {
-			d.Logger.Error("routing refused, the one in force stays", "error", err.Error())
+			d.Logger.Error("routing refused; keeping the active routing", "error", err.Error())
 			continue
 		}
 		old := d.forwarder.Table.Load()
@@ -168,14 +168,15 @@
 		if old == nil || !slices.Equal(old.Routing.Services, routing.Services) {
 			d.onServicesChanged()
 		}
-		d.Logger.Info("routing in force", "routing_version", routing.Version, "routes", len(routing.Routes), "customers", len(routing.Customers))
+		d.Logger.Info("routing active", "routing_version", routing.Version, "routes", len(routing.Routes), "customers", len(routing.Customers))
 	}
 }
 
-// onStoreRestored reads the topics anew that the platform writes, and has put back what fronts wrote.
+// onStoreRestored is called when the store was restored from an older copy. It reloads the topics
+// that the platform writes and rewrites the records of the fronts.
 func (d *Front) onStoreRestored(era int64) {
 	metrics.Count(d.metrics.StoreRestores)
-	d.Logger.Warn("the store came back from an older copy", "era", era)
+	d.Logger.Warn("the store was restored from an older copy", "era", era)
 	for _, w := range d.watches {
 		w.StoreRestored(era)
 	}
@@ -215,17 +216,17 @@
 	d.admitHeldCalls()
 }
 
-// onHandshake takes what another front used of the customers' limits.
+// onHandshake applies another front's usage of the customers' limits.
 func (d *Front) onHandshake(now time.Time, b *peers.Heartbeat) {
 	d.quota.ApplyFullUse(now, b.From.Incarnation, b.Limits)
 }
 
-// syncLimitsFromPeer asks another front for what was drawn of the customers' limits before this
-// one's start, also by lives that are over.
+// syncLimitsFromPeer requests from another front the usage of the customers' limits before this
+// front started, including that of ended incarnations.
 func (d *Front) syncLimitsFromPeer(from string) {
 	var s runworks.LimitState
 	if d.requestState(from, peers.SubjectLimits, &s) && d.quota.ApplyState(time.Now(), &s) {
-		d.Logger.Info("limits told by another front", "name", from, "lives", len(s.Incarnations))
+		d.Logger.Info("applied the limit usage from another front", "name", from, "lives", len(s.Incarnations))
 		d.admitHeldCalls()
 	}
 }
@@ -239,16 +240,17 @@
 	d.dispatcher.MarkPeerUnreachable(from)
 }
 
-// requestPermits asks another front for what it has at hand of a backend server's limit.
+// requestPermits requests the permits of a backend server's rate limit that another front does not
+// need.
 func (d *Front) requestPermits(transfer *dispatch.PermitTransfer) {
 	started := d.work.Go(func() {
 		n, err := d.exchange.RequestPermits(d.ctx, transfer.Donor, peers.PermitRequest{Server: transfer.Server, Permits: transfer.Permits})
 		if err != nil {
-			d.Logger.Warn("another front could not be asked for a loan", "incarnation", transfer.Donor, "server", transfer.Server, "error", err.Error())
+			d.Logger.Warn("permit request to another front failed", "incarnation", transfer.Donor, "server", transfer.Server, "error", err.Error())
 		}
 		d.dispatcher.FinishTransfer(transfer, n)
 	})
 	if !started {
-		d.Logger.Info("no loan is asked for, the front stops", "server", transfer.Server)
+		d.Logger.Info("no permits requested: the front is stopping", "server", transfer.Server)
 	}
 }
--- a/daemon/process.go
+++ b/daemon/process.go
@@ -23,22 +23,21 @@
 // Version is the program's version; the build sets it.
 var Version = "dev"
 
-// Deps are what varies around a process; nil fields get the usual ones.
+// Deps are the dependencies of a process that tests may replace. Nil fields are set to defaults.
 type Deps struct {
-	// Log is the log service; nil is the one that the settings name.
+	// Log is the log service; nil means the one in the settings.
 	Log runworks.LogService
-	// Hosts is the host list; nil is the one that the settings name.
+	// Hosts is the host list; nil means the one in the settings.
 	Hosts runworks.HostList
 	// Dial opens connections, and Listen opens listeners.
 	Dial   rpc.DialFunc
 	Listen func(address string) (net.Listener, error)
 	Logger hclog.Logger
-	// Tracer records spans; nil is by settings.
+	// Tracer records spans; nil means the one in the settings.
 	Tracer trace.Tracer
 }
 
-// setDefaults puts the usual parts in the place of nil ones; the function it gives
-// sends the last spans.
+// setDefaults sets nil fields to their defaults. The returned function sends the last trace spans.
 func (p *Deps) setDefaults(ctx context.Context, c *setting.Common) (func(), error) {
 	if p.Log == nil {
 		p.Log = &platform.Log{Address: c.LogService}
@@ -62,8 +61,8 @@
 	return flushSpans, err
 }
 
-// newTracer builds the tracer of a process by its settings; the function it gives
-// sends the last spans.
+// newTracer returns the tracer that the settings of a process name. The returned function sends the
+// last trace spans.
 func newTracer(ctx context.Context, process string, t setting.Traces) (trace.Tracer, func(), error) {
 	if t.Endpoint == "" {
 		return tracing.Noop(), func() {}, nil
@@ -83,12 +82,12 @@
 	_ = provider.Shutdown(ctx)
 }
 
-// newFollower builds the newFollower of the configuration log.
+// newFollower returns a follower of the configuration log.
 func newFollower(p *Deps, c *setting.Common) *config.Follower {
 	return &config.Follower{Log: p.Log, PollInterval: c.ConfigPoll, RepublishInterval: c.RepublishInterval, Logger: p.Logger}
 }
 
-// listen opens a listener and says where on the log.
+// listen opens a listener and logs its address.
 func (p *Deps) listen(client, address string) (net.Listener, error) {
 	listener, err := p.Listen(address)
 	if err != nil {
@@ -98,14 +97,14 @@
 	return listener, nil
 }
 
-// httpServers are the two httpServers of a process: towards its peers, who are callers or
-// entries, and towards operators.
+// httpServers are the two HTTP servers of a process: one for its clients, which are callers or
+// entries, and one for operators.
 type httpServers struct {
 	clients, operators                 *http.Server
 	clientsListener, operatorsListener net.Listener
 }
 
-// listen listens for both.
+// listen opens the listeners of both servers.
 func (s *httpServers) listen(deps *Deps, c *setting.Common, clients string) error {
 	var err error
 	if s.clientsListener, err = deps.listen(clients, c.Listen); err != nil {
@@ -118,7 +117,7 @@
 	return nil
 }
 
-// serve runs both until they are closed.
+// serve starts both servers; they run until close is called.
 func (s *httpServers) serve(work *conc.WaitGroup) {
 	work.Go(func() { _ = s.clients.Serve(s.clientsListener) })
 	work.Go(func() { _ = s.operators.Serve(s.operatorsListener) })
@@ -129,7 +128,7 @@
 	_ = s.operators.Close()
 }
 
-// newMetrics builds the instruments of a process.
+// newMetrics returns the metrics of a process.
 func newMetrics() (*metrics.Set, error) {
 	set, err := metrics.New()
 	if err != nil {
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,4 +1,4 @@
-// Package dev runs all parts with stand-ins in one process, for a laptop.
+// Package dev runs all components with simulated backend servers in one process, for development.
 package dev
 
 import (
@@ -21,24 +21,24 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// Key is the key of the sample customer.
+// Key is the API key of the sample customer.
 const Key = "dev-key-technicians"
 
-// anyPort lets the kernel pick a port.
+// anyPort is the address of a free port on the loopback interface.
 const anyPort = "127.0.0.1:0"
 
 const fleetKey = "dev-fleet-key-of-one-process"
 
-// Sample is the sample configuration; its addresses are filled in at start.
+// Sample is the sample configuration; Run fills in the addresses.
 //
 //go:embed sample.yaml
 var Sample string
 
-// Dev is all parts in one process. Set the exported fields before Run.
+// Dev runs all components in one process. Set the exported fields before Run.
 type Dev struct {
-	// Listen is host:port towards callers.
+	// Listen is the address for callers, host:port.
 	Listen string
-	// Out gets the lines for the person at the keyboard.
+	// Out receives the usage text.
 	Out    io.Writer
 	Logger hclog.Logger
 
@@ -48,7 +48,7 @@
 	servers []*http.Server
 }
 
-// Run runs until stop is closed and the planned stop is over.
+// Run runs until stop is closed and the planned stop is complete.
 func (d *Dev) Run(ctx context.Context, stop <-chan struct{}) error {
 	defer d.close()
 	cfg, err := d.startBackends(ctx)
@@ -71,19 +71,19 @@
 	return err
 }
 
-// startBackends starts the backend servers and gives the configuration with their
+// startBackends starts the simulated backend servers and returns the configuration with their
 // addresses.
 func (d *Dev) startBackends(ctx context.Context) (*runworks.Config, error) {
 	handlers := map[string]http.Handler{
 		"{{old}}":   (&standin.Engine{Name: "engine-old", Slots: 4, PrefillPerSecond: 2000, DecodePerSecond: 40}).Handler(),
 		"{{new}}":   (&standin.Engine{Name: "engine-new", Slots: 8, PrefillPerSecond: 8000, DecodePerSecond: 120}).Handler(),
-		"{{plain}}": (&standin.Plain{}).Handler(),
+		"{{plain}}": (&standin.PlainService{}).Handler(),
 	}
 	text := Sample
 	for placeholder, handler := range handlers {
 		listener, err := listen(ctx, anyPort)
 		if err != nil {
-			return nil, errorx.Decorate(err, "listen for a stand-in")
+			return nil, errorx.Decorate(err, "listen for a simulated backend server")
 		}
 		server := &http.Server{Handler: handler}
 		d.servers = append(d.servers, server)
@@ -93,7 +93,7 @@
 	return config.Parse("sample.yaml", []byte(text))
 }
 
-// startAgent starts an startAgent beside a backend server, and puts it on the host list.
+// startAgent starts an agent for a backend server and adds it to the host list.
 func (d *Dev) startAgent(ctx context.Context, stop <-chan struct{}, server *runworks.BackendServer) error {
 	listener, err := listen(ctx, anyPort)
 	if err != nil {
@@ -110,7 +110,7 @@
 	d.hosts.Put(runworks.Host{Name: name, Role: runworks.RoleAgent, Hall: server.Hall, Address: listener.Addr().String()})
 	d.work.Go(func() {
 		if err := agent.Run(ctx, stop); err != nil {
-			d.Logger.Error("agent ended", "server", server.Name, "error", err)
+			d.Logger.Error("agent failed", "server", server.Name, "error", err)
 		}
 	})
 	return nil
@@ -120,8 +120,8 @@
 	return (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 }
 
-// presetListeners gives open listeners first, in turn, and then ports that the kernel
-// picks.
+// presetListeners returns a listen function that returns the given open listeners in order, and
+// then opens new ones.
 func presetListeners(ctx context.Context, listeners ...net.Listener) func(string) (net.Listener, error) {
 	return func(address string) (net.Listener, error) {
 		if len(listeners) == 0 {
@@ -161,24 +161,24 @@
 	}
 }
 
-// printUsage tells the person at the keyboard how to make a call.
+// printUsage prints how to make a call.
 func (d *Dev) printUsage(address, operators string) {
 	_, _ = fmt.Fprintf(d.Out, `runworks dev is ready on http://%[1]s with the key %[2]s
 
-Try a question to an engine, streamed:
+Call an engine, with a streamed response:
   curl -N http://%[1]s/v1/chat/completions -H 'Authorization: Bearer %[2]s' \
     -d '{"model":"yard-7b","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"why is the compressor warm"}]}'
 
-Try the plain service:
+Call the plain service:
   curl http://%[1]s/services/yard-app/gate/check-in -H 'Authorization: Bearer %[2]s' -d 'truck 12'
 
-See what the entry sees:
+Show the status of the entry:
   runworks status --operators http://%[3]s
 
 `, address, Key, operators)
 }
 
-// close ends the stand-ins and waits for all parts.
+// close stops the simulated backend servers and waits for all components.
 func (d *Dev) close() {
 	for _, server := range d.servers {
 		_ = server.Close()
--- a/modules/backend/http.go
+++ b/modules/backend/http.go
@@ -65,7 +65,7 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req, err := h.request(httptrace.WithClientTrace(ctx, trace), id, call)
 	if err != nil {
-		return nil, errorx.Decorate(runworks.ErrNotDispatched, "build the request: %v", err)
+		return nil, errorx.Decorate(runworks.ErrNotDispatched, "build the call: %v", err)
 	}
 	res, err := h.transportFor(req).RoundTrip(req) //nolint:bodyclose // the caller closes Reply.Body
 	if err == nil {
@@ -85,7 +85,7 @@
 	url := fmt.Sprintf("%s/requests/%s?from=%d", h.Address, id, from)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, errorx.Decorate(runworks.ErrGone, "build the resume request: %v", err)
+		return nil, errorx.Decorate(runworks.ErrGone, "build the resume: %v", err)
 	}
 	res, err := h.fresh.RoundTrip(req)
 	if err != nil {
--- a/modules/httpconn/do.go
+++ b/modules/httpconn/do.go
@@ -125,13 +125,13 @@
 			return res, nil
 		}
 		if res.Close || res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
-			return nil, errorx.ExternalError.New("response belongs to another request and its length is unknown")
+			return nil, errorx.ExternalError.New("the answer to another request took this one's place")
 		}
 		if _, err := io.CopyN(io.Discard, res.Body, maxMismatchedBytes); !errors.Is(err, io.EOF) {
-			return nil, errorx.ExternalError.New("response to another request is too long to skip")
+			return nil, errorx.ExternalError.New("the answer to another request is too long to pass over")
 		}
 	}
-	return nil, errorx.ExternalError.New("received only responses to other requests")
+	return nil, errorx.ExternalError.New("only answers to other requests came")
 }
 
 // body is the body of a response; once it is read completely, the connection returns to the
--- a/routers/callers/doc.go
+++ b/routers/callers/doc.go
@@ -1,3 +1,3 @@
-// Package callers is the interface towards callers: the completions interface
-// for model engines, and plain services by path.
+// Package callers serves the HTTP API for callers: the completions API for model engines, and plain
+// services by path.
 package callers
--- a/routers/callers/engine.go
+++ b/routers/callers/engine.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// bytesPerToken estimates a prompt's length from its bytes.
+	// bytesPerToken is used to estimate the tokens of a prompt.
 	bytesPerToken = 4
-	// defaultMaxTokens estimates an answer whose caller names no bound.
+	// defaultMaxTokens is the estimate for a response if the request sets no limit.
 	defaultMaxTokens = 256
 )
 
-// completion is what runworks reads of a completions call; the rest passes.
+// completion holds the fields of a completions request that runworks reads; the body is forwarded
+// unchanged.
 type completion struct {
 	Model               string `json:"model"`
 	MaxTokens           int    `json:"max_tokens"`
 	MaxCompletionTokens int    `json:"max_completion_tokens"`
 }
 
-// completions takes a call of the completions interface.
+// completions serves a call of the completions API.
 func (rt *Routes) completions(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, span := rt.startSpan(r)
 	defer span.End()
@@ -60,7 +61,7 @@
 	return defaultMaxTokens
 }
 
-// engineHeader gives the header an engine gets: what the interface defines only.
+// engineHeader returns the header for an engine: only what the completions API defines.
 func engineHeader(r *http.Request) http.Header {
 	out := http.Header{}
 	for _, name := range []string{"Content-Type", "Accept"} {
@@ -71,7 +72,7 @@
 	return out
 }
 
-// newRequest reads what every call may say in its header.
+// newRequest returns an admission request with the fields that every call may set in its header.
 func newRequest(r *http.Request) (*admission.Request, error) {
 	req := &admission.Request{
 		Key:            bearer(r),
@@ -103,7 +104,7 @@
 	return runworks.NotRun(errorx.Decorate(runworks.ErrBadRequest, format, args...), 0)
 }
 
-// modelList is the answer to GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
--- a/routers/callers/plain.go
+++ b/routers/callers/plain.go
@@ -17,7 +17,7 @@
 	"github.com/runworks/runworks/modules/tracing"
 )
 
-// plain takes a call of a plain service.
+// plain serves a call of a plain service.
 func (rt *Routes) plain(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	ctx, span := rt.startSpan(r)
 	defer span.End()
@@ -41,14 +41,14 @@
 	rt.serve(ctx, w, req)
 }
 
-// hopHeaders concern one connection only, and are not passed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded, and Content-Length.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// plainHeader gives the header a plain service gets: the caller's, less what
-// concerns the connection, the customer's key and runworks itself.
+// plainHeader returns the header for a plain service: the caller's header without hop-by-hop
+// headers, the customer's key and the headers of runworks.
 func plainHeader(header http.Header) http.Header {
 	out := withoutHopHeaders(header)
 	out.Del("Authorization")
@@ -60,7 +60,7 @@
 	return out
 }
 
-// withoutHopHeaders copies a header less what concerns one connection only.
+// withoutHopHeaders returns a copy of a header without hop-by-hop headers.
 func withoutHopHeaders(header http.Header) http.Header {
 	out := header.Clone()
 	for _, value := range header.Values("Connection") {
@@ -74,13 +74,13 @@
 	return out
 }
 
-// startSpan begins the startSpan of the entry's hop, in the caller's trace if it has one.
+// startSpan starts the entry's span, in the caller's trace if the request carries one.
 func (rt *Routes) startSpan(r *http.Request) (context.Context, trace.Span) {
 	ctx := tracing.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return rt.Tracer.Start(ctx, tracing.SpanEntry)
 }
 
-// readBody reads a call's whole body, in bounded size and time.
+// readBody reads the whole body of a call, limited in size and time.
 func (rt *Routes) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	limit := http.NewResponseController(w)
 	_ = limit.SetReadDeadline(time.Now().Add(readBodyTimeout))
--- a/routers/callers/response.go
+++ b/routers/callers/response.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// bufferedBytes is how much of an answer is read before its head is written, so
-	// that a short one that breaks still gets an error of its own.
+	// bufferedBytes is how much of a response is read before its header is written, so that the
+	// failure of a short one is still answered with an error response.
 	bufferedBytes   = 1 << 20
 	copyBufferBytes = 32 << 10
 )
 
-// writeResponse passes an answer on to the caller. One that breaks after its head
-// was written ends the connection, so that it never looks finished.
+// writeResponse forwards a response to the caller. If it fails after its header was written, the
+// connection is aborted, so that the caller cannot take the response for complete.
 func writeResponse(w http.ResponseWriter, id runworks.RequestID, res *entry.Response) {
 	if isEventStream(res) {
 		writeHead(w, res)
@@ -55,7 +55,7 @@
 	w.WriteHeader(res.Head.Status)
 }
 
-// copyEvents passes a stream on as it comes.
+// copyEvents forwards an event stream and flushes after each read.
 func copyEvents(w http.ResponseWriter, body io.Reader) error {
 	flush := http.NewResponseController(w)
 	p := make([]byte, copyBufferBytes)
@@ -76,8 +76,8 @@
 	}
 }
 
-// abortOnError ends the connection of an answer that broke; an event stream says so
-// in an event of its own first.
+// abortOnError aborts the connection if err is not nil. In an event stream it sends an error event
+// first.
 func abortOnError(w http.ResponseWriter, id runworks.RequestID, err error, events bool) {
 	if err == nil {
 		return
@@ -91,7 +91,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// errorReply is the JSON of an error, in the shape of the completions interface.
+// errorReply is the JSON body of an error, as the completions API defines it.
 type errorReply struct {
 	Error errorDetail `json:"error"`
 }
@@ -104,7 +104,7 @@
 	RequestID runworks.RequestID `json:"request_id,omitempty"`
 }
 
-// errorResponse gives the status and the code for a cause.
+// errorResponse is the status and the error code for a cause.
 type errorResponse struct {
 	err    error
 	status int
@@ -132,7 +132,7 @@
 	{runworks.ErrBackend, http.StatusBadGateway, "backend_failed"},
 }
 
-// statusOf finds the status and the code of an error.
+// statusOf returns the status and the error code for an error.
 func statusOf(err error) (int, string) {
 	for _, one := range errorResponses {
 		if errors.Is(err, one.err) {
@@ -156,13 +156,13 @@
 	return &errorReply{Error: errorDetail{Message: err.Error(), Type: errorType, Code: code, Outcome: outcome, RequestID: id}}
 }
 
-// writeFailure gives a request its final answer.
+// writeFailure writes the error response of a request.
 func writeFailure(w http.ResponseWriter, id runworks.RequestID, err error) {
 	status, _ := statusOf(err)
 	body := errorBody(id, err)
 	w.Header().Set(runworks.HeaderOutcome, string(body.Error.Outcome))
-	// The well-known client libraries come back by themselves after many errors;
-	// this tells them to only where the request did not run and may yet.
+	// Common client libraries retry by default after many errors. This header allows it only if the
+	// request did not run and a retry can succeed.
 	w.Header().Set("X-Should-Retry", strconv.FormatBool(shouldRetry(err)))
 	var failure *runworks.Failure
 	if errors.As(err, &failure) {
@@ -176,7 +176,7 @@
 	writeJSON(w, status, body)
 }
 
-// seconds rounds up to whole seconds, as Retry-After takes no others.
+// seconds formats d for Retry-After, rounded up to whole seconds.
 func seconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
@@ -202,7 +202,7 @@
 	}})
 }
 
-// shouldRetry says whether a caller does well to send the request again.
+// shouldRetry reports whether the caller may send the request again with a chance of success.
 func shouldRetry(err error) bool {
 	var failure *runworks.Failure
 	return errors.As(err, &failure) && failure.Outcome == runworks.OutcomeNotRun && failure.RetryAfter > 0
--- a/routers/callers/routes.go
+++ b/routers/callers/routes.go
@@ -13,7 +13,7 @@
 	"github.com/runworks/runworks/services/entry"
 )
 
-// Bounds towards callers.
+// Limits for callers.
 const (
 	DefaultMaxBodyBytes = 8 << 20
 	MaxHeaderBytes      = 64 << 10
@@ -22,16 +22,16 @@
 	idleTimeout         = 2 * time.Minute
 )
 
-// Routes are the callers' routes.
+// Routes serves the callers' HTTP routes.
 type Routes struct {
 	Entry     *entry.Entry
 	Admission *admission.Admission
 	Tracer    trace.Tracer
-	// MaxBodyBytes bounds a call's body.
+	// MaxBodyBytes limits the body of a call; 0 means DefaultMaxBodyBytes.
 	MaxBodyBytes int64
 }
 
-// Handler builds the handler.
+// Handler returns the handler of all routes.
 func (rt *Routes) Handler() http.Handler {
 	if rt.MaxBodyBytes <= 0 {
 		rt.MaxBodyBytes = DefaultMaxBodyBytes
@@ -55,7 +55,7 @@
 	return router
 }
 
-// Server builds the server for the handler with the bounds towards callers.
+// Server returns an HTTP server for the handler with the limits for callers.
 func Server(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler: handler, MaxHeaderBytes: MaxHeaderBytes,
@@ -63,7 +63,7 @@
 	}
 }
 
-// serve admits a call and passes its answer on.
+// serve admits a call, runs it and forwards its response.
 func (rt *Routes) serve(ctx context.Context, w http.ResponseWriter, req *admission.Request) {
 	admitted, err := rt.Admission.Admit(req)
 	if err != nil {
--- a/routers/operators/doc.go
+++ b/routers/operators/doc.go
@@ -1,3 +1,3 @@
-// Package operators is the interface towards operators: life, readiness,
-// metrics and state. It is served on an address that callers do not reach.
+// Package operators serves the HTTP API for operators: liveness, readiness, metrics and status. It
+// listens on an address that callers cannot reach.
 package operators
--- a/routers/operators/routes.go
+++ b/routers/operators/routes.go
@@ -9,19 +9,19 @@
 	"github.com/runworks/runworks/modules/metrics"
 )
 
-// Routes are the operators' routes of one process.
+// Routes serves the operators' HTTP routes of one process.
 type Routes struct {
-	// Ready gives nil when the process takes work.
+	// Ready returns nil if the process can take work, or the reason why it cannot.
 	Ready func() error
-	// Status gives what GET /status shows, as JSON.
+	// Status returns the value that GET /status encodes as JSON.
 	Status func() any
-	// Release lets a request go that is held in quarantine, and says whether it was known; nil
-	// where no request is held.
+	// Release ends the quarantine of a request and reports whether the request was known; nil if
+	// the process has no quarantine.
 	Release func(fingerprint string) bool
 	Metrics *metrics.Set
 }
 
-// Handler builds the handler.
+// Handler returns the handler of all routes.
 func (rt *Routes) Handler() http.Handler {
 	router := httprouter.New()
 	router.GET("/livez", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { writeText(w, http.StatusOK, "ok") })
--- a/routers/operators/routes_test.go
+++ b/routers/operators/routes_test.go
@@ -10,9 +10,9 @@
 	"github.com/runworks/runworks/modules/metrics"
 )
 
-// TestLift lets a request go that is known, and says so of one that is not; where no request
-// is held there is no such route.
-func TestLift(t *testing.T) {
+// TestRelease checks the status for a known and for an unknown request, and that the route does not
+// exist in a process without a quarantine.
+func TestRelease(t *testing.T) {
 	is := is.New(t)
 	set, err := metrics.New()
 	is.NoErr(err)
--- a/routers/runs/doc.go
+++ b/routers/runs/doc.go
@@ -1,3 +1,3 @@
-// Package runs is the agent's interface towards entries: the control connection
-// and the streams of runs.
+// Package runs serves the agent's HTTP API for entries: the control connection and the streams of
+// runs.
 package runs
--- a/routers/runs/runs.go
+++ b/routers/runs/runs.go
@@ -18,17 +18,17 @@
 	"github.com/runworks/runworks/services/control"
 )
 
-// MaxBodyBytes bounds the body of a run.
+// MaxBodyBytes limits the request body of a run.
 const MaxBodyBytes = 16 << 20
 
-// Routes are the agent's routes for entries.
+// Routes serves the agent's HTTP routes for entries.
 type Routes struct {
 	Agent *agent.Agent
-	// Keys are the fleet keys; a request without one gets 401.
+	// Keys are the accepted fleet keys; requests without one are rejected with status 401.
 	Keys rpc.FleetKeys
 }
 
-// Handler builds the handler.
+// Handler returns the handler of all routes.
 func (rt *Routes) Handler() http.Handler {
 	router := httprouter.New()
 	router.GET(rpc.Path, rt.control)
@@ -52,7 +52,7 @@
 	rt.Agent.ServeControl(r.Context(), stream)
 }
 
-// start runs a granted request and streams its answer.
+// start starts the run of a granted request and streams its response.
 func (rt *Routes) start(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	order, err := readRunRequest(w, r, params)
 	if err != nil {
@@ -67,8 +67,8 @@
 	rt.stream(w, r, order.ID, order.Incarnation, 0)
 }
 
-// readRunRequest reads the whole body before the request may start, so that a body
-// that is cut short starts nothing.
+// readRunRequest reads the whole body before the run starts, so that a truncated body never starts
+// a run.
 func readRunRequest(w http.ResponseWriter, r *http.Request, params httprouter.Params) (*agent.RunRequest, error) {
 	o := &agent.RunRequest{
 		ID:          runworks.RequestID(params.ByName("id")),
@@ -114,8 +114,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// stream writes a run's answer from an offset on. A whole stream ends with the
-// trailer of its outcome; one that breaks has none.
+// stream writes the response of a run from an offset in bytes. A complete stream ends with the
+// outcome in a trailer; an aborted one has no trailer.
 func (rt *Routes) stream(w http.ResponseWriter, r *http.Request, id runworks.RequestID, incarnation runworks.Incarnation, from int64) {
 	reader, err := rt.Agent.Open(id, incarnation)
 	if err != nil {
@@ -165,7 +165,8 @@
 	return runworks.OutcomeDone
 }
 
-// writeRefusal tells the entry that there is no stream, and why.
+// writeRefusal writes the error response for a request without a stream, with the state of the run
+// if the agent refused it.
 func writeRefusal(w http.ResponseWriter, err error) {
 	var refusal *agent.RefusalError
 	if errors.As(err, &refusal) {
--- a/services/agent/agent.go
+++ b/services/agent/agent.go
@@ -18,10 +18,10 @@
 	"github.com/runworks/runworks/services/reservation"
 )
 
-// Defaults of an agent's bounds.
+// Defaults of the limits of an Agent.
 const (
 	DefaultMaxWaiting         = 1000
-	DefaultMaxAnswerBytes     = 4 << 20
+	DefaultMaxResponseBytes   = 4 << 20
 	DefaultMaxRetainedBytes   = 64 << 20
 	DefaultMaxKeys            = 100_000
 	DefaultKeyRetention       = 10 * time.Minute
@@ -29,71 +29,73 @@
 	DefaultKeyedOrphanTimeout = 2 * time.Minute
 )
 
-// Agent stands beside one backend server. Set the exported fields before Run.
+// Agent schedules the requests of one backend server and runs on its host. Set the exported
+// fields before Start.
 type Agent struct {
-	// Name is the host's name, and Server the backend server's in the configuration.
+	// Name is the name of the host; Server is the name of the backend server in the configuration.
 	Name   string
 	Server string
-	// ProgramVersion is the program's version.
+	// ProgramVersion is the version of the running program.
 	ProgramVersion string
-	// Config gives the configuration in force.
+	// Config provides the active configuration.
 	Config *config.Follower
-	// Connect builds the way to the backend server at a base URL.
+	// Connect returns the Backend for the backend server at a base URL.
 	Connect func(kind runworks.ServiceKind, address string) runworks.Backend
 	Logger  hclog.Logger
 	Metrics *metrics.Set
 	Tracer  trace.Tracer
-	// HeartbeatInterval is the time between two reports to each entry; 0 is
+	// HeartbeatInterval is the time between two heartbeats to each entry; 0 means
 	// control.HeartbeatInterval.
 	HeartbeatInterval time.Duration
-	// MaxWaiting bounds the waiting tickets.
+	// MaxWaiting limits the number of queued reservations.
 	MaxWaiting int
-	// MaxAnswerBytes bounds what is kept of one answer.
-	MaxAnswerBytes int
-	// MaxRetainedBytes bounds the answers kept for callers who come back with a key.
+	// MaxResponseBytes limits the bytes buffered of one response.
+	MaxResponseBytes int
+	// MaxRetainedBytes limits the total size of the finished responses that are retained for
+	// callers that retry with their idempotency key.
 	MaxRetainedBytes int
-	// OrphanTimeout is how long a run without a key outlives its reader, and
-	// KeyedLimit the same with a key.
+	// OrphanTimeout is how long a run without an idempotency key continues without a reader;
+	// KeyedOrphanTimeout is the same for a run with a key.
 	OrphanTimeout      time.Duration
 	KeyedOrphanTimeout time.Duration
-	// KeySkew, KeyKeep and MaxKeys are the bounds of the key records (package idempotency).
+	// KeySkew, KeyRetention and MaxKeys configure the key records; see idempotency.Table.
 	KeySkew      time.Duration
 	KeyRetention time.Duration
 	MaxKeys      int
 
 	incarnation runworks.Incarnation
 	work        group.Group
-	life        context.Context
-	end         context.CancelFunc
-
-	mu      sync.Mutex
-	queue   reservation.Queue
-	links   map[runworks.Incarnation]*link
-	runs    map[runworks.RequestID]*run
-	busy    map[int]int
-	slots   int
-	backend runworks.Backend
-	kind    runworks.ServiceKind
-	address string
-	leaving bool
-	downTo  time.Time
-	changed notify.Change
-	keys    idempotency.Table
-	rates   estimate
-	past    []pastConfig
+	ctx         context.Context
+	cancel      context.CancelFunc
+
+	mu               sync.Mutex
+	queue            reservation.Queue
+	links            map[runworks.Incarnation]*link
+	runs             map[runworks.RequestID]*run
+	busy             map[int]int
+	slots            int
+	backend          runworks.Backend
+	kind             runworks.ServiceKind
+	address          string
+	draining         bool
+	unreachableUntil time.Time
+	changed          notify.Change
+	keys             idempotency.Table
+	runTimes         durationEstimate
+	configs          []pastConfig
 }
 
-// pastConfig is a configuration that was in force until a time.
+// pastConfig is a configuration that was active until a time, or still is if until is zero.
 type pastConfig struct {
 	cfg   *config.Snapshot
 	until time.Time
 }
 
-// Start makes the agent ready; call it once, before any message comes.
+// Start initializes the agent. It must be called once, before any connection is served.
 func (a *Agent) Start(ctx context.Context) {
-	a.defaults()
+	a.setDefaults()
 	a.incarnation = runworks.NewIncarnation()
-	a.life, a.end = context.WithCancel(context.WithoutCancel(ctx))
+	a.ctx, a.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	a.links = make(map[runworks.Incarnation]*link)
 	a.runs = make(map[runworks.RequestID]*run)
 	a.busy = make(map[int]int)
@@ -105,15 +107,15 @@
 	}
 }
 
-func (a *Agent) defaults() {
+func (a *Agent) setDefaults() {
 	if a.HeartbeatInterval <= 0 {
 		a.HeartbeatInterval = control.HeartbeatInterval
 	}
 	if a.MaxWaiting <= 0 {
 		a.MaxWaiting = DefaultMaxWaiting
 	}
-	if a.MaxAnswerBytes <= 0 {
-		a.MaxAnswerBytes = DefaultMaxAnswerBytes
+	if a.MaxResponseBytes <= 0 {
+		a.MaxResponseBytes = DefaultMaxResponseBytes
 	}
 	if a.MaxRetainedBytes <= 0 {
 		a.MaxRetainedBytes = DefaultMaxRetainedBytes
@@ -132,62 +134,63 @@
 	}
 }
 
-// Incarnation names this life of the agent.
+// Incarnation returns the ID of this incarnation of the agent.
 func (a *Agent) Incarnation() runworks.Incarnation { return a.incarnation }
 
-// Configure takes a new configuration in force.
-func (a *Agent) Configure(now *config.Snapshot) {
+// Configure applies a new active configuration. A version that is not newer is ignored.
+func (a *Agent) Configure(snapshot *config.Snapshot) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if n := len(a.past); n > 0 && a.past[n-1].cfg.Version >= now.Version {
+	if n := len(a.configs); n > 0 && a.configs[n-1].cfg.Version >= snapshot.Version {
 		return
 	}
-	a.keepPast(now)
-	place := now.Server(a.Server)
-	if place == nil {
+	a.recordConfig(snapshot)
+	info := snapshot.Server(a.Server)
+	if info == nil {
 		if a.slots > 0 {
-			a.Logger.Warn("backend server left the configuration", "server", a.Server)
+			a.Logger.Warn("backend server is no longer in the configuration", "server", a.Server)
 		}
 		a.slots = 0
-		a.giveBackLocked(control.RefusedUnserved)
+		a.refuseAllLocked(control.RefusedUnserved)
 		return
 	}
-	if a.kind != place.Service.Kind || a.address != place.Server.Address {
-		a.kind, a.address = place.Service.Kind, place.Server.Address
+	if a.kind != info.Service.Kind || a.address != info.Server.Address {
+		a.kind, a.address = info.Service.Kind, info.Server.Address
 		a.backend = a.Connect(a.kind, a.address)
 	}
-	a.slots = place.Server.Slots
+	a.slots = info.Server.Slots
 	a.scheduleLocked()
 }
 
-// keepPast remembers what was in force until now, as long as a key may be old.
-func (a *Agent) keepPast(now *config.Snapshot) {
-	at := time.Now()
-	if n := len(a.past); n > 0 {
-		a.past[n-1].until = at
+// recordConfig appends a configuration to the history. Older ones are kept for as long as a
+// key that was created while they were active can still be claimed.
+func (a *Agent) recordConfig(snapshot *config.Snapshot) {
+	now := time.Now()
+	if n := len(a.configs); n > 0 {
+		a.configs[n-1].until = now
 	}
-	a.past = append(a.past, pastConfig{cfg: now})
-	oldest := at.Add(-a.KeyRetention - 2*a.KeySkew)
-	for len(a.past) > 1 && a.past[0].until.Before(oldest) {
-		a.past = a.past[1:]
+	a.configs = append(a.configs, pastConfig{cfg: snapshot})
+	oldest := now.Add(-a.KeyRetention - 2*a.KeySkew)
+	for len(a.configs) > 1 && a.configs[0].until.Before(oldest) {
+		a.configs = a.configs[1:]
 	}
 }
 
-// Heartbeat tells how busy the agent is.
+// Heartbeat returns the current load of the agent.
 func (a *Agent) Heartbeat() control.Heartbeat {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.beatLocked()
+	return a.heartbeatLocked()
 }
 
-func (a *Agent) beatLocked() control.Heartbeat {
+func (a *Agent) heartbeatLocked() control.Heartbeat {
 	return control.Heartbeat{
-		Version: a.Config.Version(), Draining: a.leaving,
+		Version: a.Config.Version(), Draining: a.draining,
 		Slots: a.slots, Running: a.busyLocked(), Waiting: a.queue.Len(),
 	}
 }
 
-// Status is what an operator sees of an agent.
+// Status is the state of an agent as shown to operators.
 type Status struct {
 	Name        string               `json:"name"`
 	Server      string               `json:"server"`
@@ -202,7 +205,7 @@
 	Keys          int         `json:"keys"`
 }
 
-// Status gives the agent's state for an operator.
+// Status returns the agent's state.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -214,12 +217,12 @@
 	}
 	return Status{
 		Name: a.Name, Server: a.Server, Incarnation: a.incarnation, Version: a.Config.Version(),
-		Draining: a.leaving, Slots: a.slots, RunningByRank: running, WaitingByRank: a.queue.LenByRank(),
+		Draining: a.draining, Slots: a.slots, RunningByRank: running, WaitingByRank: a.queue.LenByRank(),
 		Entries: len(a.links), Keys: a.keys.Len(),
 	}
 }
 
-// busyLocked gives the number of slots in use, by claims and by runs.
+// busyLocked returns the number of slots in use by claimed and running requests.
 func (a *Agent) busyLocked() int {
 	n := 0
 	for _, running := range a.busy {
@@ -228,7 +231,7 @@
 	return n
 }
 
-// busyBelowLocked gives the slots in use by lower tiers than rank.
+// busyBelowLocked returns the number of slots in use by tiers lower than rank.
 func (a *Agent) busyBelowLocked(rank int) int {
 	n := 0
 	for r, running := range a.busy {
--- a/services/agent/agent_test.go
+++ b/services/agent/agent_test.go
@@ -21,7 +21,7 @@
 	"github.com/runworks/runworks/services/reservation"
 )
 
-// noResume keeps no answers.
+// noResume is a backend that can't resume responses.
 type noResume struct{}
 
 // Resume implements runworks.Backend.
@@ -32,7 +32,7 @@
 // Cancel implements runworks.Backend.
 func (noResume) Cancel(context.Context, runworks.RequestID) {}
 
-// fakeBackend counts calls and answers with a body, or fails.
+// fakeBackend counts calls. It responds with body, or fails with err.
 type fakeBackend struct {
 	noResume
 	calls int
@@ -49,7 +49,7 @@
 	return &runworks.Reply{Status: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(b.body))}, nil
 }
 
-// newTestAgent starts an agent with one request that it has claimed.
+// newTestAgent returns a started agent with one claimed request, 1.1.
 func newTestAgent(t *testing.T, backend *fakeBackend) (a *Agent, claimed *run) {
 	t.Helper()
 	set, err := metrics.New()
@@ -73,11 +73,11 @@
 	return a, claimed
 }
 
-func (a *Agent) order(id runworks.RequestID) *RunRequest {
+func (a *Agent) runRequest(id runworks.RequestID) *RunRequest {
 	return &RunRequest{ID: id, Incarnation: a.incarnation, Timeout: time.Minute}
 }
 
-// wantState checks that a run was refused with a state.
+// wantState checks that err is a RefusalError with the state.
 func wantState(t *testing.T, err error, want control.RunState) {
 	t.Helper()
 	var refusal *RefusalError
@@ -86,40 +86,43 @@
 	}
 }
 
-// TestRunsOnce sends an order again, in every state, and to another life.
+// TestRunsOnce checks that a request which is delivered again, in any state, or to another
+// incarnation of the agent, does not run a second time.
 func TestRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		backend := &fakeBackend{body: "answer"}
 		a, _ := newTestAgent(t, backend)
 		defer a.Close()
-		other := a.order("1.1")
-		other.Incarnation = "another life"
+		other := a.runRequest("1.1")
+		other.Incarnation = "another incarnation"
 		wantState(t, a.StartRun(t.Context(), other), control.StateUnknown)
-		wantState(t, a.StartRun(t.Context(), a.order("2.1")), control.StateUnknown)
-		is.NoErr(a.StartRun(t.Context(), a.order("1.1")))
-		wantState(t, a.StartRun(t.Context(), a.order("1.1")), control.StateRunning)
+		wantState(t, a.StartRun(t.Context(), a.runRequest("2.1")), control.StateUnknown)
+		is.NoErr(a.StartRun(t.Context(), a.runRequest("1.1")))
+		wantState(t, a.StartRun(t.Context(), a.runRequest("1.1")), control.StateRunning)
 		synctest.Wait()
-		wantState(t, a.StartRun(t.Context(), a.order("1.1")), control.StateEnded)
+		wantState(t, a.StartRun(t.Context(), a.runRequest("1.1")), control.StateEnded)
 		is.Equal(backend.calls, 1)
 	})
 }
 
-// TestGrantLapses lets a grant come too late, as to an agent that was frozen.
-func TestGrantLapses(t *testing.T) {
+// TestGrantExpires delivers a grant after its limit, as to an agent whose process was
+// suspended. The request must not run, as its entry may have sent it elsewhere by then.
+func TestGrantExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		backend := &fakeBackend{}
 		a, _ := newTestAgent(t, backend)
 		defer a.Close()
 		time.Sleep(control.GrantTimeout + time.Millisecond)
-		wantState(t, a.StartRun(t.Context(), a.order("1.1")), control.StateTombstoned)
+		wantState(t, a.StartRun(t.Context(), a.runRequest("1.1")), control.StateTombstoned)
 		is.Equal(backend.calls, 0)
 		is.Equal(a.Heartbeat().Running, 0) // its slot is free
 	})
 }
 
-// TestRevoked bars a request before the order comes; asking alone does not.
+// TestRevoked revokes a claimed request before it is delivered; a query alone does not revoke
+// it.
 func TestRevoked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -128,13 +131,13 @@
 		defer a.Close()
 		is.Equal(a.Revoke(control.Revoke{ID: "1.1", QueryOnly: true}), control.StateClaimed)
 		is.Equal(a.Revoke(control.Revoke{ID: "1.1"}), control.StateTombstoned)
-		wantState(t, a.StartRun(t.Context(), a.order("1.1")), control.StateTombstoned)
-		is.Equal(a.Revoke(control.Revoke{ID: "unheard of"}), control.StateUnknown)
+		wantState(t, a.StartRun(t.Context(), a.runRequest("1.1")), control.StateTombstoned)
+		is.Equal(a.Revoke(control.Revoke{ID: "unknown"}), control.StateUnknown)
 		is.Equal(backend.calls, 0)
 	})
 }
 
-// TestFreedOnce gives a slot back once, whatever comes together.
+// TestFreedOnce revokes, cancels and drops one claim: its slot must be freed only once.
 func TestFreedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -142,15 +145,15 @@
 		defer a.Close()
 		a.Revoke(control.Revoke{ID: "1.1"})
 		a.Cancel("1.1")
-		a.release(claimed)
+		a.dropClaim(claimed)
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		is.Equal(a.busy[0], 0)
 	})
 }
 
-// TestNotDispatched tells a call that never left from one that failed, and keeps
-// tickets away for a moment.
+// TestNotDispatched checks that a call which was not dispatched is not counted as run, unlike
+// one that failed, and that reservations are refused for a time afterwards.
 func TestNotDispatched(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -167,11 +170,11 @@
 				is := is.New(t)
 				a, _ := newTestAgent(t, &fakeBackend{err: test.err})
 				defer a.Close()
-				is.NoErr(a.StartRun(t.Context(), a.order("1.1")))
+				is.NoErr(a.StartRun(t.Context(), a.runRequest("1.1")))
 				synctest.Wait()
 				is.Equal(a.Revoke(control.Revoke{ID: "1.1"}), test.state)
 				a.mu.Lock()
-				reason := a.closedLocked(time.Now())
+				reason := a.refusalReasonLocked(time.Now())
 				a.mu.Unlock()
 				is.Equal(reason == control.RefusedDown, test.down)
 			})
@@ -179,14 +182,14 @@
 	}
 }
 
-// TestAnswerIsForgotten reads an answer again at an offset, and finds it gone
-// once nobody can come for it.
-func TestAnswerIsForgotten(t *testing.T) {
+// TestAnswerRetention reads a response again at an offset. Once no reader can return, first
+// the response and then the record of the run is dropped.
+func TestAnswerRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, _ := newTestAgent(t, &fakeBackend{body: "whole answer"})
 		defer a.Close()
-		is.NoErr(a.StartRun(t.Context(), a.order("1.1")))
+		is.NoErr(a.StartRun(t.Context(), a.runRequest("1.1")))
 		synctest.Wait()
 		reader, err := a.Open("1.1", a.incarnation)
 		is.NoErr(err)
@@ -206,9 +209,9 @@
 	})
 }
 
-// TestConfigureFollowsTheBackendServer builds the way to the backend server anew
-// when its address or its kind changes, and only then.
-func TestConfigureFollowsTheBackendServer(t *testing.T) {
+// TestConfigureReconnects checks that the backend is replaced if the address or the kind of
+// the backend server changes, and only then.
+func TestConfigureReconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, _ := newTestAgent(t, &fakeBackend{})
@@ -234,16 +237,16 @@
 	})
 }
 
-// TestOrphanEnds lets a run go whose reader does not come back; one with a key
-// goes on for longer.
-func TestOrphanEnds(t *testing.T) {
+// TestOrphanTimeout checks that a run without a reader is cancelled after its timeout, which is
+// longer for a run with an idempotency key.
+func TestOrphanTimeout(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			a, _ := newTestAgent(t, &fakeBackend{})
 			a.backend = &hangingBackend{}
 			defer a.Close()
-			o := a.order("1.1")
+			o := a.runRequest("1.1")
 			o.KeepRunning, o.Timeout = keep, time.Hour
 			is.NoErr(a.StartRun(t.Context(), o))
 			time.Sleep(DefaultOrphanTimeout + time.Millisecond)
@@ -258,7 +261,7 @@
 	}
 }
 
-// hangingBackend answers only once its call is cancelled.
+// hangingBackend responds only after its call is cancelled.
 type hangingBackend struct{ noResume }
 
 // Do implements runworks.Backend.
@@ -267,16 +270,16 @@
 	return nil, runworks.ErrBackend
 }
 
-// TestDrainWaits stops an agent whose run nobody reads just now: it waits until
-// the run has ended and its answer was read.
+// TestDrainWaits drains an agent with a run that has no reader at the time: Drain must wait
+// until the run has ended and its response was read.
 func TestDrainWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, _ := newTestAgent(t, nil)
-		hanging := &heldBackend{release: make(chan struct{})}
+		hanging := &gatedBackend{release: make(chan struct{})}
 		a.backend = hanging
 		defer a.Close()
-		o := a.order("1.1")
+		o := a.runRequest("1.1")
 		o.KeepRunning, o.Timeout = true, time.Hour
 		is.NoErr(a.StartRun(t.Context(), o))
 		drained := make(chan struct{})
@@ -302,14 +305,14 @@
 	})
 }
 
-// heldBackend answers once it is released.
-type heldBackend struct {
+// gatedBackend responds once release is closed.
+type gatedBackend struct {
 	noResume
 	release chan struct{}
 }
 
 // Do implements runworks.Backend.
-func (b *heldBackend) Do(ctx context.Context, _ runworks.RequestID, _ *runworks.Call) (*runworks.Reply, error) {
+func (b *gatedBackend) Do(ctx context.Context, _ runworks.RequestID, _ *runworks.Call) (*runworks.Reply, error) {
 	select {
 	case <-ctx.Done():
 		return nil, runworks.ErrBackend
--- a/services/agent/claim.go
+++ b/services/agent/claim.go
@@ -9,9 +9,9 @@
 	"github.com/runworks/runworks/services/reservation"
 )
 
-// scheduleLocked claims the first tickets while slots are free.
+// scheduleLocked claims waiting requests in queue order while slots are free.
 func (a *Agent) scheduleLocked() {
-	if a.leaving {
+	if a.draining {
 		return
 	}
 	for a.busyLocked() < a.slots {
@@ -19,7 +19,7 @@
 		if w == nil {
 			return
 		}
-		if !a.rates.fits(w.Tier, w.Cost(), time.Until(w.Deadline)) {
+		if !a.runTimes.fits(w.Tier, w.Cost(), time.Until(w.Deadline)) {
 			a.refuseLocked(w, control.RefusedTooLate)
 			continue
 		}
@@ -27,14 +27,14 @@
 	}
 }
 
-// mayStartLocked says whether a slot may be used for a rank: each tier leaves
-// the slots free that are reserved for higher ones.
+// mayStartLocked reports whether a request of the rank may use a slot. Slots reserved for
+// higher tiers stay free.
 func (a *Agent) mayStartLocked(rank int) bool {
-	now := a.Config.Active()
-	if now == nil {
+	snapshot := a.Config.Active()
+	if snapshot == nil {
 		return false
 	}
-	reserved := now.ReservedSlots(rank)
+	reserved := snapshot.ReservedSlots(rank)
 	if reserved == 0 {
 		return true
 	}
@@ -42,22 +42,22 @@
 	return sameOrLower < max(a.slots-reserved, 1)
 }
 
-// claimLocked takes a slot for a ticket and asks its entry for the request.
-func (a *Agent) claimLocked(w *reservation.Item) {
-	l := a.links[w.Source]
-	if l == nil || a.runs[w.ID] != nil {
+// claimLocked takes a slot for a reservation and starts to claim its request from its entry.
+func (a *Agent) claimLocked(item *reservation.Item) {
+	l := a.links[item.Source]
+	if l == nil || a.runs[item.ID] != nil {
 		return
 	}
-	r := newRun(w)
-	a.runs[w.ID] = r
-	a.busy[w.Tier]++
+	r := newRun(item)
+	a.runs[item.ID] = r
+	a.busy[item.Tier]++
 	a.work.Go(func() { a.claim(l, r) })
 }
 
-// claim asks the entry. After a lost answer the request may have been granted,
-// so the record stays until no grant can be valid any more.
+// claim asks the entry for the request. If the reply is lost, the request may have been
+// granted, so the record is kept until a grant can no longer be valid.
 func (a *Agent) claim(l *link, r *run) {
-	ctx, cancel := context.WithTimeout(a.life, control.GrantTimeout)
+	ctx, cancel := context.WithTimeout(a.ctx, control.GrantTimeout)
 	defer cancel()
 	var reply control.ClaimReply
 	err := l.conn.Call(ctx, control.MethodClaim, control.Claim{ID: r.id}, &reply)
@@ -68,14 +68,14 @@
 		metrics.Count(a.Metrics.Claims, metrics.Result("granted"))
 	default:
 		metrics.Count(a.Metrics.Claims, metrics.Result("gone"))
-		a.release(r)
+		a.dropClaim(r)
 		return
 	}
-	a.expireAt(r, r.asked.Add(control.GrantTimeout))
+	a.expireAt(r, r.claimedAt.Add(control.GrantTimeout))
 }
 
-// release forgets a claim that was not granted.
-func (a *Agent) release(r *run) {
+// dropClaim deletes a claim that was not granted.
+func (a *Agent) dropClaim(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.state != control.StateClaimed {
@@ -85,13 +85,13 @@
 	a.freeLocked(r)
 }
 
-// expireAt bars a claimed request from running once its grant has lapsed.
+// expireAt prevents a claimed request from running after its grant has expired.
 func (a *Agent) expireAt(r *run, at time.Time) {
 	if left := time.Until(at); left > 0 {
 		timer := time.NewTimer(left)
 		defer timer.Stop()
 		select {
-		case <-a.life.Done():
+		case <-a.ctx.Done():
 			return
 		case <-r.started:
 			return
@@ -103,23 +103,23 @@
 	a.tombstoneLocked(r)
 }
 
-// tombstoneLocked bars a claimed request from ever running here.
+// tombstoneLocked prevents a claimed request from ever running here.
 func (a *Agent) tombstoneLocked(r *run) {
 	if r.state != control.StateClaimed {
 		return
 	}
 	r.state = control.StateTombstoned
-	r.ended = time.Now()
+	r.endedAt = time.Now()
 	a.freeLocked(r)
 }
 
-// freeLocked gives the slot of a request back, once.
+// freeLocked frees the slot of a request; further calls have no effect.
 func (a *Agent) freeLocked(r *run) {
 	if r.freed {
 		return
 	}
 	r.freed = true
-	a.busy[r.ticket.Tier]--
+	a.busy[r.reservation.Tier]--
 	a.changed.Signal()
 	a.scheduleLocked()
 }
--- a/services/agent/doc.go
+++ b/services/agent/doc.go
@@ -1,4 +1,4 @@
-// Package agent decides what runs on one backend server and when: it queues
-// tickets, claims the first when a slot is free, sends the request to the
-// backend server once, and keeps the answer's stream until it is fetched.
+// Package agent schedules the requests of one backend server: it queues reservations, claims a
+// request when a slot is free, sends it to the backend server once, and buffers the response
+// until it is read.
 package agent
--- a/services/agent/drain.go
+++ b/services/agent/drain.go
@@ -7,26 +7,25 @@
 	"github.com/runworks/runworks/services/control"
 )
 
-// StartDrain takes no new work from now on, gives waiting tickets back and tells all
-// entries.
+// StartDrain stops accepting work, returns the queued reservations and notifies all entries.
 func (a *Agent) StartDrain() {
 	a.mu.Lock()
-	if a.leaving {
+	if a.draining {
 		a.mu.Unlock()
 		return
 	}
-	a.leaving = true
-	a.Logger.Info("leaving: no new work", "server", a.Server)
-	a.giveBackLocked(control.RefusedDraining)
-	beat := a.beatLocked()
+	a.draining = true
+	a.Logger.Info("draining; not accepting new requests", "server", a.Server)
+	a.refuseAllLocked(control.RefusedDraining)
+	heartbeat := a.heartbeatLocked()
 	links := a.linksLocked()
 	a.mu.Unlock()
 	for _, l := range links {
-		_ = l.conn.Notify(a.life, control.MethodHeartbeat, beat)
+		_ = l.conn.Notify(a.ctx, control.MethodHeartbeat, heartbeat)
 	}
 }
 
-// linksLocked gives the connections to entries.
+// linksLocked returns the connections to entries.
 func (a *Agent) linksLocked() []*link {
 	links := make([]*link, 0, len(a.links))
 	for _, l := range a.links {
@@ -35,7 +34,8 @@
 	return links
 }
 
-// Drain leaves, and waits until what runs has ended and its answer was read.
+// Drain calls StartDrain and waits until all runs have ended and their responses were read. It
+// returns the cause if ctx ends earlier.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.StartDrain()
 	for {
@@ -55,8 +55,8 @@
 	}
 }
 
-// idleLocked says whether nothing runs and every answer has been read, or
-// nobody came for it in time.
+// idleLocked reports whether nothing runs and every response was read or had no reader within
+// OrphanTimeout.
 func (a *Agent) idleLocked() bool {
 	if a.busyLocked() > 0 {
 		return false
@@ -65,25 +65,25 @@
 		if r.readers > 0 {
 			return false
 		}
-		unread := r.state == control.StateEnded && !r.whole
-		if unread && time.Since(r.ended) < a.OrphanTimeout {
+		unread := r.state == control.StateEnded && !r.fullyRead
+		if unread && time.Since(r.endedAt) < a.OrphanTimeout {
 			return false
 		}
 	}
 	return true
 }
 
-// Close ends the agent; what still runs is cut.
+// Close stops the agent and cancels what still runs.
 func (a *Agent) Close() {
 	a.StartDrain()
-	a.end()
+	a.cancel()
 	a.mu.Lock()
 	for _, r := range a.runs {
 		if r.cancel != nil {
 			r.cancel()
 		}
-		if r.orphan != nil {
-			r.orphan.Stop()
+		if r.orphanTimer != nil {
+			r.orphanTimer.Stop()
 		}
 	}
 	a.mu.Unlock()
--- a/services/agent/handover.go
+++ b/services/agent/handover.go
@@ -10,51 +10,51 @@
 
 const handOverTimeout = 2 * time.Second
 
-// handOver gives the key records to the agent that is heir to this one, through
-// the first entry that gets them there. From then on no key is bound here.
+// handOver sends the key records to the agent that is the successor of this one, through the
+// first entry that can deliver them. From then on no key can be bound here.
 func (a *Agent) handOver(ctx context.Context) {
-	now := a.Config.Active()
-	if now == nil || now.Server(a.Server) == nil {
+	snapshot := a.Config.Active()
+	if snapshot == nil || snapshot.Server(a.Server) == nil {
 		return
 	}
 	a.mu.Lock()
-	hand := control.KeyHandover{Service: now.Server(a.Server).Service.Name, Server: a.Server, Records: a.keys.Export()}
+	handover := control.KeyHandover{Service: snapshot.Server(a.Server).Service.Name, Server: a.Server, Records: a.keys.Export()}
 	links := a.linksLocked()
 	a.mu.Unlock()
-	if len(hand.Records) == 0 {
+	if len(handover.Records) == 0 {
 		return
 	}
 	for _, l := range links {
-		if l.handOver(ctx, &hand) {
-			a.Logger.Info("keys handed over", "records", len(hand.Records), "by", l.name)
+		if l.handOver(ctx, &handover) {
+			a.Logger.Info("key records handed over", "records", len(handover.Records), "by", l.name)
 			return
 		}
 	}
-	a.Logger.Warn("keys not handed over: their calls will be told unknown", "records", len(hand.Records))
+	a.Logger.Warn("key records not handed over; retries with these keys will report an unknown outcome", "records", len(handover.Records))
 }
 
-func (l *link) handOver(ctx context.Context, hand *control.KeyHandover) bool {
+func (l *link) handOver(ctx context.Context, handover *control.KeyHandover) bool {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	var reply control.KeyHandoverReply
-	err := l.conn.Call(ctx, control.MethodKeyHandover, hand, &reply)
+	err := l.conn.Call(ctx, control.MethodKeyHandover, handover, &reply)
 	return err == nil && reply.Accepted
 }
 
-// take keeps the records of another home.
-func (a *Agent) take(hand *control.KeyHandover) control.KeyHandoverReply {
+// importKeys stores the key records of another key owner, unless the agent is draining.
+func (a *Agent) importKeys(handover *control.KeyHandover) control.KeyHandoverReply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leaving {
+	if a.draining {
 		return control.KeyHandoverReply{}
 	}
-	a.keys.Import(time.Now(), hand.Records)
-	metrics.Add(a.Metrics.Keys, len(hand.Records), metrics.Result("taken-over"))
+	a.keys.Import(time.Now(), handover.Records)
+	metrics.Add(a.Metrics.Keys, len(handover.Records), metrics.Result("taken-over"))
 	return control.KeyHandoverReply{Accepted: true}
 }
 
-// look tells what another home knew of a key.
-func (a *Agent) look(c *control.KeyClaim) control.KeyReply {
+// lookupImported returns what another key owner recorded for a key.
+func (a *Agent) lookupImported(c *control.KeyClaim) control.KeyReply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.keys.LookupImported(time.Now(), c)
--- a/services/agent/links.go
+++ b/services/agent/links.go
@@ -15,7 +15,7 @@
 	"github.com/runworks/runworks/services/reservation"
 )
 
-const documentTimeout = 2 * time.Second
+const configTimeout = 2 * time.Second
 
 // link is a control connection to one entry.
 type link struct {
@@ -25,25 +25,25 @@
 	name   string
 	ready  chan struct{}
 
-	// What follows is guarded by the agent's lock.
-	heard time.Time
-	// version is the configuration version in force at the entry.
+	// The fields below are guarded by the agent's mutex.
+	lastSeen time.Time
+	// version is the configuration version active at the entry.
 	version int64
 }
 
 // ServeControl serves one control connection of an entry until it ends.
 func (a *Agent) ServeControl(ctx context.Context, stream *rpc.Stream) {
-	l := &link{agent: a, heard: time.Now(), ready: make(chan struct{})}
+	l := &link{agent: a, lastSeen: time.Now(), ready: make(chan struct{})}
 	stream.OnBytes = a.Metrics.CountControl
 	conn := rpc.Serve(ctx, stream, l.handle)
 	l.conn = conn
 	close(l.ready)
 	l.keepAlive(ctx)
 	_ = conn.Close()
-	a.lost(l)
+	a.removeLink(l)
 }
 
-// keepAlive sends beats, and returns once the connection is gone or silent.
+// keepAlive sends heartbeats and returns once the connection is closed or timed out.
 func (l *link) keepAlive(ctx context.Context) {
 	ticker := time.NewTicker(l.agent.HeartbeatInterval)
 	defer ticker.Stop()
@@ -51,30 +51,30 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.agent.life.Done():
+		case <-l.agent.ctx.Done():
 			return
 		case <-l.conn.DisconnectNotify():
 			return
 		case <-ticker.C:
 		}
-		if time.Since(l.lastHeard()) > control.HeartbeatTimeout {
+		if time.Since(l.lastSeenAt()) > control.HeartbeatTimeout {
 			return
 		}
 		_ = l.conn.Notify(ctx, control.MethodHeartbeat, l.agent.Heartbeat())
-		l.catchUp(ctx)
+		l.fetchConfig(ctx)
 	}
 }
 
-// catchUp takes the configuration of an entry that has a newer one, as after a
-// cut between this host and the log service.
-func (l *link) catchUp(ctx context.Context) {
+// fetchConfig requests the configuration from the entry if the entry has a newer one, as after
+// a loss of connection between this host and the log service.
+func (l *link) fetchConfig(ctx context.Context) {
 	l.agent.mu.Lock()
 	behind := l.version > l.agent.Config.Version()
 	l.agent.mu.Unlock()
 	if !behind {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, documentTimeout)
+	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	var doc control.Document
 	if err := l.conn.Call(ctx, control.MethodConfig, nil, &doc); err == nil {
@@ -82,36 +82,36 @@
 	}
 }
 
-func (l *link) lastHeard() time.Time {
+func (l *link) lastSeenAt() time.Time {
 	l.agent.mu.Lock()
 	defer l.agent.mu.Unlock()
-	return l.heard
+	return l.lastSeen
 }
 
-// handle answers one message of the entry.
+// handle handles one message of the entry.
 func (l *link) handle(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	<-l.ready
 	l.agent.mu.Lock()
-	l.heard = time.Now()
+	l.lastSeen = time.Now()
 	l.agent.mu.Unlock()
 	switch method {
 	case control.MethodHello:
-		return l.hello(params)
+		return l.handleHello(params)
 	case control.MethodHeartbeat:
-		return nil, l.beat(params)
+		return nil, l.handleHeartbeat(params)
 	case control.MethodReservations:
-		return nil, l.tickets(ctx, params)
+		return nil, l.handleReservations(ctx, params)
 	case control.MethodRevoke:
-		return l.revoke(params)
+		return l.handleRevoke(params)
 	case control.MethodConfig:
 		return l.agent.document(), nil
 	case control.MethodKeyClaim, control.MethodKeyBind, control.MethodKeyRelease, control.MethodKeyHandover, control.MethodKeyLookup:
-		return l.key(method, params)
+		return l.handleKey(method, params)
 	}
 	return nil, errorx.UnsupportedOperation.New("method %q is not known", method)
 }
 
-func (l *link) beat(params json.RawMessage) error {
+func (l *link) handleHeartbeat(params json.RawMessage) error {
 	var b control.Heartbeat
 	if err := control.Decode(params, &b); err != nil {
 		return err
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (l *link) hello(params json.RawMessage) (any, error) {
+func (l *link) handleHello(params json.RawMessage) (any, error) {
 	var h control.Hello
 	if err := control.Decode(params, &h); err != nil {
 		return nil, err
@@ -133,19 +133,19 @@
 	old := a.links[h.Incarnation]
 	a.links[h.Incarnation] = l
 	a.queue.RemoveSource(h.Incarnation)
-	beat := a.beatLocked()
+	heartbeat := a.heartbeatLocked()
 	a.mu.Unlock()
 	if old != nil {
 		_ = old.conn.Close()
 	}
-	reply := control.HelloReply{Server: a.Server, Heartbeat: beat}
-	reply.Hello = control.Hello{ProgramVersion: a.ProgramVersion, Name: a.Name, Incarnation: a.incarnation, Version: beat.Version}
+	reply := control.HelloReply{Server: a.Server, Heartbeat: heartbeat}
+	reply.Hello = control.Hello{ProgramVersion: a.ProgramVersion, Name: a.Name, Incarnation: a.incarnation, Version: heartbeat.Version}
 	return reply, nil
 }
 
-// lost forgets a connection with the tickets that came over it. Requests that
-// run go on: their entry may come back for them.
-func (a *Agent) lost(l *link) {
+// removeLink removes a closed connection and its queued reservations. Requests that run
+// continue: their entry may connect again and read the responses.
+func (a *Agent) removeLink(l *link) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if l.source == "" || a.links[l.source] != l {
@@ -158,15 +158,15 @@
 }
 
 func (a *Agent) document() control.Document {
-	now := a.Config.Active()
-	if now == nil {
+	snapshot := a.Config.Active()
+	if snapshot == nil {
 		return control.Document{}
 	}
-	return control.Document{Version: now.Version, Config: now.Config}
+	return control.Document{Version: snapshot.Version, Config: snapshot.Config}
 }
 
-// tickets takes a batch and tells the entry which ones are not held.
-func (l *link) tickets(ctx context.Context, params json.RawMessage) error {
+// handleReservations queues a batch of reservations and notifies the entry of those refused.
+func (l *link) handleReservations(ctx context.Context, params json.RawMessage) error {
 	var t control.Reservations
 	if err := control.Decode(params, &t); err != nil {
 		return err
@@ -191,14 +191,14 @@
 	return nil
 }
 
-// offerLocked takes one ticket, or gives the reason for refusing it.
+// offerLocked queues one reservation, or returns the reason for refusing it.
 func (a *Agent) offerLocked(l *link, t *runworks.Reservation) control.RefusalReason {
 	now := time.Now()
-	if t.TimeLeft <= 0 || !a.rates.fits(t.Tier, t.Cost(), t.TimeLeft) {
-		// No room would help, so lower tiers are not barred.
+	if t.TimeLeft <= 0 || !a.runTimes.fits(t.Tier, t.Cost(), t.TimeLeft) {
+		// More capacity would not help, so the admission threshold is not raised.
 		return control.RefusedTooLate
 	}
-	if reason := a.closedLocked(now); reason != "" {
+	if reason := a.refusalReasonLocked(now); reason != "" {
 		a.queue.RecordRefusal(now, t.Tier)
 		return reason
 	}
@@ -216,20 +216,21 @@
 	return ""
 }
 
-// closedLocked gives the reason for which no ticket at all is taken now.
-func (a *Agent) closedLocked(now time.Time) control.RefusalReason {
+// refusalReasonLocked returns the reason for refusing every reservation at present; empty if
+// there is none.
+func (a *Agent) refusalReasonLocked(now time.Time) control.RefusalReason {
 	switch {
-	case a.leaving:
+	case a.draining:
 		return control.RefusedDraining
 	case a.slots == 0:
 		return control.RefusedUnserved
-	case now.Before(a.downTo):
+	case now.Before(a.unreachableUntil):
 		return control.RefusedDown
 	}
 	return ""
 }
 
-// refuseLocked tells the entry of a ticket that it is no longer held.
+// refuseLocked notifies the entry that its reservation is no longer queued.
 func (a *Agent) refuseLocked(w *reservation.Item, reason control.RefusalReason) {
 	l := a.links[w.Source]
 	if l == nil {
@@ -237,11 +238,11 @@
 	}
 	metrics.Count(a.Metrics.ReservationsRefused, metrics.Cause(string(reason)))
 	refused := control.Refusals{List: []control.Refusal{{ID: w.ID, Reason: reason}}}
-	a.work.Go(func() { _ = l.conn.Notify(a.life, control.MethodRefusals, refused) })
+	a.work.Go(func() { _ = l.conn.Notify(a.ctx, control.MethodRefusals, refused) })
 }
 
-// giveBackLocked refuses all waiting tickets.
-func (a *Agent) giveBackLocked(reason control.RefusalReason) {
+// refuseAllLocked refuses all queued reservations.
+func (a *Agent) refuseAllLocked(reason control.RefusalReason) {
 	for _, w := range a.queue.Drain() {
 		a.refuseLocked(w, reason)
 	}
--- a/services/agent/run.go
+++ b/services/agent/run.go
@@ -11,54 +11,55 @@
 	"github.com/runworks/runworks/services/reservation"
 )
 
-// run is a request that this agent claimed, and its answer.
+// run is a request that this agent has claimed, with its response.
 type run struct {
-	id     runworks.RequestID
-	ticket runworks.Reservation
-	asked  time.Time
-	// started is closed when the request leaves the claimed state for running.
+	id          runworks.RequestID
+	reservation runworks.Reservation
+	claimedAt   time.Time
+	// started is closed when the state changes from claimed to running.
 	started chan struct{}
-	// began is when the request started.
-	began time.Time
-
-	// What follows is guarded by the agent's lock.
-	state   control.RunState
-	freed   bool
-	ended   time.Time
-	keep    bool
-	readers int
-	whole   bool
-	cancel  context.CancelFunc
-	orphan  *time.Timer
-
-	// answer and what follows are set when the request starts.
-	answer *stream.Buffer
-	// headed is closed when head is set or the request has ended without one.
-	headed chan struct{}
-	head   *control.ReplyHead
-	err    error
+	// startedAt is the time at which the request started to run.
+	startedAt time.Time
+
+	// The fields below are guarded by the agent's mutex.
+	state       control.RunState
+	freed       bool
+	endedAt     time.Time
+	keepRunning bool
+	readers     int
+	fullyRead   bool
+	cancel      context.CancelFunc
+	orphanTimer *time.Timer
+
+	// response and the fields below are set when the request starts.
+	response *stream.Buffer
+	// headReady is closed when head is set or the request has ended without one.
+	headReady chan struct{}
+	head      *control.ReplyHead
+	err       error
 }
 
 func newRun(w *reservation.Item) *run {
 	return &run{
-		id: w.ID, ticket: w.Reservation, asked: time.Now(), state: control.StateClaimed,
-		started: make(chan struct{}), headed: make(chan struct{}),
+		id: w.ID, reservation: w.Reservation, claimedAt: time.Now(), state: control.StateClaimed,
+		started: make(chan struct{}), headReady: make(chan struct{}),
 	}
 }
 
-// RunRequest is a granted request as it comes to the agent.
+// RunRequest is a granted request as an entry delivers it.
 type RunRequest struct {
 	ID runworks.RequestID
-	// Incarnation is the agent's life that the request was granted to.
+	// Incarnation is the agent incarnation that the request was granted to.
 	Incarnation runworks.Incarnation
 	Call        runworks.Call
-	// KeepRunning asks that the run outlive the entry.
+	// KeepRunning asks that the run continue if the entry disconnects.
 	KeepRunning bool
-	// Timeout is the time left until the request's limit.
+	// Timeout is the time left until the request's time limit.
 	Timeout time.Duration
 }
 
-// RefusalError is a run that an agent did not start, with the state it knows.
+// RefusalError is the error for a run that is not available at this agent; State is its state
+// here.
 type RefusalError struct {
 	State control.RunState
 }
@@ -66,8 +67,8 @@
 // Error implements error.
 func (r *RefusalError) Error() string { return "the request is " + string(r.State) + " here" }
 
-// StartRun moves a claimed request to running, exactly once, and calls the
-// backend server. The error is a Refusal if the request is not claimed.
+// StartRun changes a claimed request to running, exactly once, and calls the backend server.
+// It returns a RefusalError if the request is not claimed.
 func (a *Agent) StartRun(ctx context.Context, o *RunRequest) error {
 	if o.Incarnation != a.incarnation {
 		return &RefusalError{State: control.StateUnknown}
@@ -78,7 +79,7 @@
 	if r == nil {
 		return &RefusalError{State: control.StateUnknown}
 	}
-	if r.state == control.StateClaimed && time.Since(r.asked) > control.GrantTimeout {
+	if r.state == control.StateClaimed && time.Since(r.claimedAt) > control.GrantTimeout {
 		a.tombstoneLocked(r)
 	}
 	if r.state != control.StateClaimed {
@@ -88,12 +89,12 @@
 	return nil
 }
 
-// startLocked begins the run. It does not end with the entry's connection.
+// startLocked starts the run. Its context does not end with the entry's connection.
 func (a *Agent) startLocked(ctx context.Context, r *run, o *RunRequest) {
 	r.state = control.StateRunning
-	r.keep = o.KeepRunning
-	r.began = time.Now()
-	r.answer = &stream.Buffer{Limit: a.MaxAnswerBytes}
+	r.keepRunning = o.KeepRunning
+	r.startedAt = time.Now()
+	r.response = &stream.Buffer{Limit: a.MaxResponseBytes}
 	runCtx, cancel := context.WithTimeout(a.withTrace(ctx), o.Timeout)
 	r.cancel = cancel
 	close(r.started)
@@ -103,11 +104,11 @@
 		defer cancel()
 		a.execute(runCtx, r, backend, &call)
 	})
-	a.abandonLaterLocked(r)
+	a.startOrphanTimerLocked(r)
 }
 
-// Revoke bars a request from running if it has not started, unless it is only
-// asked for, and tells its state.
+// Revoke prevents a request that has not started from running, unless the message is a query
+// only, and returns its state.
 func (a *Agent) Revoke(m control.Revoke) control.RunState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -121,7 +122,7 @@
 	return r.state
 }
 
-// Cancel ends a request that nobody wants any more.
+// Cancel ends a request whose response is no longer wanted and returns its state.
 func (a *Agent) Cancel(id runworks.RequestID) control.RunState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,7 +137,7 @@
 	return r.state
 }
 
-func (l *link) revoke(params json.RawMessage) (any, error) {
+func (l *link) handleRevoke(params json.RawMessage) (any, error) {
 	var m control.Revoke
 	if err := control.Decode(params, &m); err != nil {
 		return nil, err
@@ -144,15 +145,15 @@
 	return control.RevokeReply{State: l.agent.Revoke(m)}, nil
 }
 
-// Reader reads the answer of one run; Close it.
+// Reader reads the response of one run. It must be closed.
 type Reader struct {
-	agent  *Agent
-	run    *run
-	answer *stream.Buffer
+	agent    *Agent
+	run      *run
+	response *stream.Buffer
 }
 
-// Open gives a reader of a run at this incarnation; the error is a Refusal if
-// the run did not start here or is no longer known.
+// Open returns a reader of a run of this incarnation. It returns a RefusalError if the run did
+// not start here or its response was dropped.
 func (a *Agent) Open(id runworks.RequestID, incarnation runworks.Incarnation) (*Reader, error) {
 	if incarnation != a.incarnation {
 		return nil, &RefusalError{State: control.StateUnknown}
@@ -163,23 +164,23 @@
 	if r == nil {
 		return nil, &RefusalError{State: control.StateUnknown}
 	}
-	if r.answer == nil {
+	if r.response == nil {
 		return nil, &RefusalError{State: r.state}
 	}
 	r.readers++
-	if r.orphan != nil {
-		r.orphan.Stop()
+	if r.orphanTimer != nil {
+		r.orphanTimer.Stop()
 	}
-	return &Reader{agent: a, run: r, answer: r.answer}, nil
+	return &Reader{agent: a, run: r, response: r.response}, nil
 }
 
-// Head waits for the backend server's status and header. The error is a
-// Refusal if the call provably did not leave for the backend server.
+// Head waits for the status and header of the response. It returns a RefusalError if the call
+// provably was not sent to the backend server.
 func (rd *Reader) Head(ctx context.Context) (*control.ReplyHead, error) {
 	select {
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
-	case <-rd.run.headed:
+	case <-rd.run.headReady:
 	}
 	rd.agent.mu.Lock()
 	defer rd.agent.mu.Unlock()
@@ -192,43 +193,43 @@
 	return nil, rd.run.err
 }
 
-// Next waits for bytes at an offset; end tells that all were read, and err then
-// how the run ended.
+// Next waits for bytes at an offset. If end is set, all bytes were read and err is the result
+// of the run.
 func (rd *Reader) Next(ctx context.Context, from int64) (p []byte, end bool, err error) {
-	p, end, err = rd.answer.Next(ctx, from)
+	p, end, err = rd.response.Next(ctx, from)
 	if end {
 		rd.agent.mu.Lock()
-		rd.run.whole = true
+		rd.run.fullyRead = true
 		rd.agent.mu.Unlock()
 	}
 	return p, end, err
 }
 
-// Close lets go of the run; without another reader it is abandoned after a while.
+// Close ends the reader. A run without a reader is cancelled after its orphan timeout.
 func (rd *Reader) Close() {
 	rd.agent.mu.Lock()
 	defer rd.agent.mu.Unlock()
 	rd.run.readers--
-	rd.agent.abandonLaterLocked(rd.run)
+	rd.agent.startOrphanTimerLocked(rd.run)
 	rd.agent.changed.Signal()
 }
 
-// abandonLaterLocked ends a run whose reader does not come back in time.
-func (a *Agent) abandonLaterLocked(r *run) {
+// startOrphanTimerLocked starts the timer that cancels a run which has no reader.
+func (a *Agent) startOrphanTimerLocked(r *run) {
 	if r.readers > 0 || r.state != control.StateRunning {
 		return
 	}
 	limit := a.OrphanTimeout
-	if r.keep {
+	if r.keepRunning {
 		limit = a.KeyedOrphanTimeout
 	}
-	if r.orphan != nil {
-		r.orphan.Stop()
+	if r.orphanTimer != nil {
+		r.orphanTimer.Stop()
 	}
-	r.orphan = time.AfterFunc(limit, func() { a.abandon(r) })
+	r.orphanTimer = time.AfterFunc(limit, func() { a.cancelOrphan(r) })
 }
 
-func (a *Agent) abandon(r *run) {
+func (a *Agent) cancelOrphan(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.readers == 0 && r.state == control.StateRunning {
--- a/services/agent/sweep.go
+++ b/services/agent/sweep.go
@@ -8,15 +8,15 @@
 	"github.com/runworks/runworks/services/control"
 )
 
-const sweepEvery = 5 * time.Second
+const sweepInterval = 5 * time.Second
 
-// sweep forgets, now and then, what ended long ago.
+// sweep removes expired records and responses at an interval.
 func (a *Agent) sweep() {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-a.life.Done():
+		case <-a.ctx.Done():
 			return
 		case <-ticker.C:
 		}
@@ -26,44 +26,44 @@
 	}
 }
 
-// sweepLocked drops records past RunKeep, answers that nobody will fetch, and
-// the oldest kept answers beyond their bound.
+// sweepLocked removes records older than RunRetention, responses that can no longer be
+// requested, and the oldest retained responses beyond MaxRetainedBytes.
 func (a *Agent) sweepLocked(now time.Time) {
 	var kept []*run
 	for id, r := range a.runs {
-		if r.ended.IsZero() || r.readers > 0 {
+		if r.endedAt.IsZero() || r.readers > 0 {
 			continue
 		}
-		age := now.Sub(r.ended)
+		age := now.Sub(r.endedAt)
 		switch {
-		case age > control.RunRetention && (!r.keep || age > a.KeyRetention):
+		case age > control.RunRetention && (!r.keepRunning || age > a.KeyRetention):
 			delete(a.runs, id)
-		case r.answer == nil:
-		case !r.keep && age > a.OrphanTimeout:
-			a.dropLocked(r)
-		case r.keep:
+		case r.response == nil:
+		case !r.keepRunning && age > a.OrphanTimeout:
+			a.dropResponseLocked(r)
+		case r.keepRunning:
 			kept = append(kept, r)
 		}
 	}
-	a.boundKept(kept)
+	a.limitRetained(kept)
 }
 
-// boundKept drops the oldest of the kept answers until they fit the bound.
-func (a *Agent) boundKept(kept []*run) {
-	sort.Slice(kept, func(i, j int) bool { return kept[i].ended.After(kept[j].ended) })
+// limitRetained drops the oldest retained responses until the rest fit in MaxRetainedBytes.
+func (a *Agent) limitRetained(kept []*run) {
+	sort.Slice(kept, func(i, j int) bool { return kept[i].endedAt.After(kept[j].endedAt) })
 	total := 0
 	for _, r := range kept {
-		total += r.answer.Size()
+		total += r.response.Size()
 		if total > a.MaxRetainedBytes {
-			a.dropLocked(r)
+			a.dropResponseLocked(r)
 		}
 	}
 }
 
-// dropLocked lets go of an answer, and counts one that nobody read to its end.
-func (a *Agent) dropLocked(r *run) {
-	r.answer = nil
-	if !r.whole {
-		metrics.Count(a.Metrics.DroppedResponses, metrics.Rank(r.ticket.Tier))
+// dropResponseLocked drops a response and counts it if it was never read to its end.
+func (a *Agent) dropResponseLocked(r *run) {
+	r.response = nil
+	if !r.fullyRead {
+		metrics.Count(a.Metrics.DroppedResponses, metrics.Rank(r.reservation.Tier))
 	}
 }
--- a/services/config/apply.go
+++ b/services/config/apply.go
@@ -12,26 +12,25 @@
 	"github.com/runworks/runworks/modules/yamlfile"
 )
 
-const applyPoll = 100 * time.Millisecond
+const applyPollInterval = 100 * time.Millisecond
 
-// BaseActive is, as the base of an apply, the version that the log has in force
-// when the apply begins.
+// BaseActive is a base for Apply: the version that is active when Apply starts.
 const BaseActive int64 = -1
 
-// Apply checks a document, puts it on the log, based on a version, and waits
-// until the log tells whether it was accepted. The error is yamlfile.ErrInvalid
-// for mistakes, ErrBasedOnOlder if another document won, and ErrUnknownFate if
-// the log told nothing until ctx ended.
+// Apply checks a document, appends it to the log as a change of the base version, and waits
+// until the log shows whether it was accepted. It returns yamlfile.ErrInvalid for an invalid
+// document, ErrStaleBase if another document was accepted first, and ErrOutcomeUnknown if the
+// log did not show the result before ctx ended.
 func Apply(ctx context.Context, log runworks.LogService, base int64, cfg *runworks.Config) (Result, error) {
 	if list := Check(cfg); len(list) > 0 {
 		return Result{}, &yamlfile.Mistakes{File: "document", List: list}
 	}
-	var fold LogState
-	if err := foldToHead(ctx, log, &fold); err != nil {
-		return Result{}, errorx.Decorate(err, "nothing was applied")
+	var state LogState
+	if err := readToHead(ctx, log, &state); err != nil {
+		return Result{}, errorx.Decorate(err, "configuration not applied")
 	}
 	if base == BaseActive {
-		base = fold.Version
+		base = state.Version
 	}
 	record := Record{Kind: RecordApply, ID: uuid.NewString(), Base: base, Config: cfg}
 	data, err := record.Encode()
@@ -39,69 +38,69 @@
 		return Result{}, err
 	}
 	_, appendErr := log.Append(ctx, data)
-	return await(ctx, log, &fold, record.ID, appendErr)
+	return awaitResult(ctx, log, &state, record.ID, appendErr)
 }
 
-// await reads the log until the record's id is decided. A lost answer of the
-// append is no answer: only the log tells.
-func await(ctx context.Context, log runworks.LogService, fold *LogState, id string, appendErr error) (Result, error) {
+// awaitResult reads the log until it shows the result for the record ID. An append that failed
+// may still have been written, so its error is not the result.
+func awaitResult(ctx context.Context, log runworks.LogService, state *LogState, id string, appendErr error) (Result, error) {
 	for {
-		_ = foldToHead(ctx, log, fold)
-		if result, ok := fold.Results[id]; ok {
-			return verdict(result)
+		_ = readToHead(ctx, log, state)
+		if result, ok := state.Results[id]; ok {
+			return checkResult(result)
 		}
 		select {
 		case <-ctx.Done():
 			return Result{}, errorx.Decorate(runworks.ErrOutcomeUnknown,
-				"apply %s does not stand on the log up to offset %d (append: %v)", id, fold.Next, appendErr)
-		case <-time.After(applyPoll):
+				"apply %s was not found on the log up to offset %d (append: %v)", id, state.Next, appendErr)
+		case <-time.After(applyPollInterval):
 		}
 	}
 }
 
-func verdict(result Result) (Result, error) {
+func checkResult(result Result) (Result, error) {
 	if !result.Accepted {
-		return result, errorx.Decorate(runworks.ErrStaleBase, "version %d is in force", result.Version)
+		return result, errorx.Decorate(runworks.ErrStaleBase, "version %d is active", result.Version)
 	}
 	return result, nil
 }
 
-// Latest reads the log and gives the version and the document in force.
+// Latest reads the log and returns the active version and document.
 func Latest(ctx context.Context, log runworks.LogService) (int64, *runworks.Config, error) {
-	var fold LogState
-	if err := foldToHead(ctx, log, &fold); err != nil {
+	var state LogState
+	if err := readToHead(ctx, log, &state); err != nil {
 		return 0, nil, err
 	}
-	return fold.Version, fold.Config, nil
+	return state.Version, state.Config, nil
 }
 
-// foldToHead folds all records up to the head of the log.
-func foldToHead(ctx context.Context, log runworks.LogService, fold *LogState) error {
-	if fold.Next == 0 {
-		fold.Reset(0)
+// readToHead adds all records up to the head of the log.
+func readToHead(ctx context.Context, log runworks.LogService, state *LogState) error {
+	if state.Next == 0 {
+		state.Reset(0)
 	}
 	for {
-		page, err := log.Read(ctx, fold.Next)
+		page, err := log.Read(ctx, state.Next)
 		if errors.Is(err, runworks.ErrTruncated) && page != nil {
-			fold.Reset(page.First)
+			state.Reset(page.First)
 			continue
 		}
 		if err != nil {
 			return err
 		}
 		for _, rec := range page.Records {
-			fold.Add(rec)
+			state.Add(rec)
 		}
-		if fold.Next >= page.Next {
-			return basis(fold)
+		if state.Next >= page.Next {
+			return requireSynced(state)
 		}
 	}
 }
 
-// basis refuses a log from which the version in force can't be told.
-func basis(fold *LogState) error {
-	if !fold.Synced() {
-		return errorx.Decorate(runworks.ErrNotReady, "the log no longer tells which version is in force; try again")
+// requireSynced returns ErrNotReady if the active version can't be determined from the log.
+func requireSynced(state *LogState) error {
+	if !state.Synced() {
+		return errorx.Decorate(runworks.ErrNotReady, "the active version can't be determined from the log; try again")
 	}
 	return nil
 }
--- a/services/config/check.go
+++ b/services/config/check.go
@@ -11,8 +11,8 @@
 
 const keyHashBytes = 32
 
-// Check gives all mistakes of a configuration; none means that it may be put
-// in force.
+// Check returns all mistakes of a configuration. A configuration without mistakes may become
+// active.
 func Check(cfg *runworks.Config) []yamlfile.Mistake {
 	c := &checker{
 		cfg:           cfg,
@@ -27,12 +27,12 @@
 	return c.list
 }
 
-// checker gathers mistakes.
+// checker collects the mistakes of one configuration.
 type checker struct {
 	cfg  *runworks.Config
 	list []yamlfile.Mistake
 
-	// The names maps give, for each name, the field where it stands first.
+	// The maps hold, for each name, the field in which it was first used.
 	serviceNames  map[string]string
 	tierNames     map[string]string
 	customerNames map[string]string
@@ -42,14 +42,14 @@
 	c.list = append(c.list, yamlfile.Mistake{Field: field, Problem: fmt.Sprintf(format, args...)})
 }
 
-// unique adds a mistake for an empty or a doubled name.
+// unique adds a mistake for an empty or duplicate name.
 func (c *checker) unique(seen map[string]string, field, name string) {
 	if name == "" {
 		c.add(field, "must not be empty")
 		return
 	}
 	if first, ok := seen[name]; ok {
-		c.add(field, "%q stands already at %s", name, first)
+		c.add(field, "%q is already used at %s", name, first)
 		return
 	}
 	seen[name] = field
@@ -121,7 +121,7 @@
 			c.add(at+".rank", "%d is negative", t.Rank)
 		}
 		if first, ok := ranks[t.Rank]; ok {
-			c.add(at+".rank", "rank %d stands already at %s", t.Rank, first)
+			c.add(at+".rank", "rank %d is already used at %s", t.Rank, first)
 		} else {
 			ranks[t.Rank] = at
 		}
--- a/services/config/doc.go
+++ b/services/config/doc.go
@@ -1,3 +1,3 @@
-// Package config reads, checks, applies and follows the configuration: a pure
-// fold over the platform's log decides which document is in force.
+// Package config reads, checks, applies and follows the configuration. Documents are records
+// on the platform's log, and the active one is a pure function of that log.
 package config
--- a/services/config/follower.go
+++ b/services/config/follower.go
@@ -15,69 +15,69 @@
 )
 
 const (
-	defaultPoll    = time.Second
-	defaultRestate = 10 * time.Minute
-	restateJitter  = 0.5
-	maxPagesInARow = 1000
-	restateTimeout = 5 * time.Second
+	defaultPollInterval      = time.Second
+	defaultRepublishInterval = 10 * time.Minute
+	republishJitter          = 0.5
+	maxPagesPerPoll          = 1000
+	republishTimeout         = 5 * time.Second
 )
 
-// Follower keeps the configuration in force: from the log, and from peers when
-// the log can't be read. Set the exported fields before Run.
+// Follower keeps track of the active configuration, from the log, or from peers while the log
+// can't be read. Set the exported fields before Run.
 type Follower struct {
 	// Log is the platform's log service.
 	Log runworks.LogService
-	// PollInterval is the time between reads of the log.
+	// PollInterval is the time between reads of the log; 0 means one second.
 	PollInterval time.Duration
-	// RepublishInterval is how long after the document last stood on the log it is put
-	// there again; keep it well inside the log's retention time.
+	// RepublishInterval is the time after which a document is appended to the log again; 0 means
+	// 10 minutes. It must be well below the log's retention time.
 	RepublishInterval time.Duration
-	// Logger gets a line for each change of state.
+	// Logger logs each change of state.
 	Logger hclog.Logger
-	// OnChange is told about each new configuration in force; it may be nil.
+	// OnChange is called with each new active configuration. It may be nil.
 	OnChange func(*Snapshot)
 
-	mu       sync.Mutex
-	fold     LogState
-	started  bool
-	inForce  *Snapshot
-	changed  notify.Change
-	restated time.Time
-	restateD time.Duration
-	readAt   time.Time
-	outage   bool
+	mu             sync.Mutex
+	state          LogState
+	started        bool
+	active         *Snapshot
+	changed        notify.Change
+	publishedAt    time.Time
+	republishAfter time.Duration
+	lastRead       time.Time
+	outage         bool
 }
 
-// Active gives the configuration in force; nil before the first.
+// Active returns the active configuration; nil before the first.
 func (f *Follower) Active() *Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.inForce
+	return f.active
 }
 
-// Version gives the version in force; 0 before the first.
+// Version returns the active version; 0 before the first.
 func (f *Follower) Version() int64 {
-	if now := f.Active(); now != nil {
-		return now.Version
+	if snapshot := f.Active(); snapshot != nil {
+		return snapshot.Version
 	}
 	return 0
 }
 
-// LastRead gives the time of the last successful read of the log.
+// LastRead returns the time of the last successful read of the log.
 func (f *Follower) LastRead() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.readAt
+	return f.lastRead
 }
 
-// Wait waits until a configuration is in force.
+// Wait waits until a configuration is active.
 func (f *Follower) Wait(ctx context.Context) (*Snapshot, error) {
 	for {
 		f.mu.Lock()
-		now, wait := f.inForce, f.changed.Wait()
+		snapshot, wait := f.active, f.changed.Wait()
 		f.mu.Unlock()
-		if now != nil {
-			return now, nil
+		if snapshot != nil {
+			return snapshot, nil
 		}
 		select {
 		case <-ctx.Done():
@@ -90,16 +90,16 @@
 // Run follows the log until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	if f.PollInterval <= 0 {
-		f.PollInterval = defaultPoll
+		f.PollInterval = defaultPollInterval
 	}
 	if f.RepublishInterval <= 0 {
-		f.RepublishInterval = defaultRestate
+		f.RepublishInterval = defaultRepublishInterval
 	}
 	ticker := time.NewTicker(f.PollInterval)
 	defer ticker.Stop()
 	for {
-		f.catchUp(ctx)
-		f.restateIfDue(ctx)
+		f.readToHead(ctx)
+		f.republishIfDue(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -108,104 +108,106 @@
 	}
 }
 
-// ApplyDocument takes a document that a peer has in force; an older one is passed over.
+// ApplyDocument applies a document that is active at a peer. An older or invalid one is
+// ignored.
 func (f *Follower) ApplyDocument(version int64, cfg *runworks.Config) {
 	if cfg == nil || len(Check(cfg)) > 0 {
 		return
 	}
-	f.put(version, cfg)
+	f.activate(version, cfg)
 }
 
-// catchUp reads to the head of the log.
-func (f *Follower) catchUp(ctx context.Context) {
-	for range maxPagesInARow {
+// readToHead reads to the head of the log.
+func (f *Follower) readToHead(ctx context.Context) {
+	for range maxPagesPerPoll {
 		more, err := f.readPage(ctx)
-		f.noteOutage(err)
+		f.logOutage(err)
 		if err != nil || !more {
 			return
 		}
 	}
 }
 
-// readPage reads and folds one page; more says that the head is not reached.
+// readPage reads and applies one page. more reports whether there is more to read.
 func (f *Follower) readPage(ctx context.Context) (more bool, err error) {
 	f.mu.Lock()
-	from := f.fold.Next
+	from := f.state.Next
 	started := f.started
 	f.mu.Unlock()
 	page, err := f.Log.Read(ctx, from)
 	if errors.Is(err, runworks.ErrTruncated) && page != nil {
-		f.restart(page.First)
+		f.reset(page.First)
 		return true, nil
 	}
 	if err != nil {
 		return false, err
 	}
 	if !started {
-		f.restart(from)
+		f.reset(from)
 	}
-	return f.take(page), nil
+	return f.applyPage(page), nil
 }
 
-// restart begins the fold at an offset; the configuration in force stays.
-func (f *Follower) restart(first int64) {
+// reset restarts the log state at an offset. The active configuration is kept.
+func (f *Follower) reset(first int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.started = true
-	f.fold.Reset(first)
+	f.state.Reset(first)
 }
 
-// take folds a page and puts what it decides in force.
-func (f *Follower) take(page *runworks.LogPage) (more bool) {
+// applyPage adds the records of a page and activates the resulting document at the head of the
+// log.
+func (f *Follower) applyPage(page *runworks.LogPage) (more bool) {
 	f.mu.Lock()
-	stated := f.fold.DocumentOffset
+	documentOffset := f.state.DocumentOffset
 	for _, rec := range page.Records {
-		if rec.Offset >= f.fold.Next {
-			f.fold.Add(rec)
+		if rec.Offset >= f.state.Next {
+			f.state.Add(rec)
 		}
 	}
-	if f.fold.DocumentOffset != stated || f.restated.IsZero() {
-		f.restated, f.restateD = time.Now(), jittered(f.RepublishInterval)
+	if f.state.DocumentOffset != documentOffset || f.publishedAt.IsZero() {
+		f.publishedAt, f.republishAfter = time.Now(), jittered(f.RepublishInterval)
 	}
-	f.readAt = time.Now()
-	atHead := f.fold.Next >= page.Next
-	version, cfg := f.fold.Version, f.fold.Config
-	based := f.fold.Synced()
+	f.lastRead = time.Now()
+	atHead := f.state.Next >= page.Next
+	version, cfg := f.state.Version, f.state.Config
+	synced := f.state.Synced()
 	f.mu.Unlock()
-	if atHead && based && cfg != nil {
-		f.put(version, cfg)
+	if atHead && synced && cfg != nil {
+		f.activate(version, cfg)
 	}
 	return !atHead && len(page.Records) > 0
 }
 
-// put puts a document in force unless a newer one, or the same, is.
-func (f *Follower) put(version int64, cfg *runworks.Config) {
+// activate makes a document active unless the same version or a newer one is active.
+func (f *Follower) activate(version int64, cfg *runworks.Config) {
 	if version <= f.Version() {
 		return
 	}
-	now := NewSnapshot(version, cfg)
+	snapshot := NewSnapshot(version, cfg)
 	f.mu.Lock()
-	if f.inForce != nil && f.inForce.Version >= version {
+	if f.active != nil && f.active.Version >= version {
 		f.mu.Unlock()
 		return
 	}
-	f.inForce = now
+	f.active = snapshot
 	f.changed.Signal()
 	f.mu.Unlock()
-	f.Logger.Info("configuration in force", "version", version)
+	f.Logger.Info("configuration active", "version", version)
 	if f.OnChange != nil {
-		f.OnChange(now)
+		f.OnChange(snapshot)
 	}
 }
 
-// restateIfDue puts the document on the log again before its record expires.
-// The jitter makes about one process do so; more of them do no harm.
-func (f *Follower) restateIfDue(ctx context.Context) {
+// republishIfDue appends the document to the log again before its record expires. With the
+// jitter, usually only one process does so; duplicates are harmless.
+func (f *Follower) republishIfDue(ctx context.Context) {
 	f.mu.Lock()
-	due := f.fold.Synced() && f.fold.Config != nil && time.Since(f.restated) >= f.restateD
-	r := Record{Kind: RecordRepublish, ID: uuid.NewString(), Version: f.fold.Version, AsOf: f.fold.Next - 1, Config: f.fold.Config}
+	due := f.state.Synced() && f.state.Config != nil && time.Since(f.publishedAt) >= f.republishAfter
+	r := Record{Kind: RecordRepublish, ID: uuid.NewString(), Version: f.state.Version, AsOf: f.state.Next - 1, Config: f.state.Config}
 	if due {
-		f.restated, f.restateD = time.Now(), jittered(f.RepublishInterval)
+		f.publishedAt, f.republishAfter = time.Now(), jittered(f.RepublishInterval)
 	}
 	f.mu.Unlock()
 	if !due {
@@ -213,18 +215,18 @@
 	}
 	data, err := r.Encode()
 	if err != nil {
-		f.Logger.Error("restate the configuration", "error", err)
+		f.Logger.Error("republish the configuration", "error", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, restateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, republishTimeout)
 	defer cancel()
 	if _, err := f.Log.Append(ctx, data); err != nil {
-		f.noteOutage(err)
+		f.logOutage(err)
 	}
 }
 
-// noteOutage logs when the log service goes away and when it comes back.
-func (f *Follower) noteOutage(err error) {
+// logOutage logs when the log service becomes unreachable and when it can be reached again.
+func (f *Follower) logOutage(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if (err != nil) == f.outage {
@@ -232,13 +234,13 @@
 	}
 	f.outage = err != nil
 	if f.outage {
-		f.Logger.Warn("log service out of reach, going on with the configuration in force", "error", err)
+		f.Logger.Warn("log service unreachable; keeping the active configuration", "error", err)
 		return
 	}
-	f.Logger.Info("log service reached")
+	f.Logger.Info("log service reachable again")
 }
 
-// jittered gives a time between d and d by 1 + restateJitter.
+// jittered returns a random duration between d and d*(1+republishJitter).
 func jittered(d time.Duration) time.Duration {
-	return d + time.Duration(rand.Float64()*restateJitter*float64(d))
+	return d + time.Duration(rand.Float64()*republishJitter*float64(d))
 }
--- a/services/config/log_state.go
+++ b/services/config/log_state.go
@@ -8,32 +8,32 @@
 	"github.com/runworks/runworks"
 )
 
-// RecordKind says what a record on the log does.
+// RecordKind is the kind of a log record.
 type RecordKind string
 
-// The kinds of record.
+// Kinds of record.
 const (
-	// RecordApply puts a document in force if its base is the version in force.
+	// RecordApply makes a document active if its base is the active version.
 	RecordApply RecordKind = "apply"
-	// RecordRepublish repeats the document in force, before its record expires.
+	// RecordRepublish repeats the active document before its record expires.
 	RecordRepublish RecordKind = "restate"
 )
 
-// Record is what stands on the configuration log.
+// Record is one record of the configuration log.
 type Record struct {
 	Kind RecordKind `json:"kind"`
-	// ID is the apply's own id; the same id counts once.
+	// ID identifies the apply; a repeated record has the same ID.
 	ID string `json:"id"`
-	// Base is the version the document is based on (apply).
+	// Base is the version that the document is based on (RecordApply).
 	Base int64 `json:"base,omitempty"`
-	// Version is the version in force as of offset AsOf (restate).
+	// Version is the active version as of offset AsOf (RecordRepublish).
 	Version int64 `json:"version,omitempty"`
 	AsOf    int64 `json:"as_of,omitempty"`
-	// Config is the whole document.
+	// Config is the complete document.
 	Config *runworks.Config `json:"config"`
 }
 
-// Encode gives the bytes for the log.
+// Encode returns the JSON encoding of the record.
 func (r *Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -42,35 +42,35 @@
 	return data, nil
 }
 
-// Result is what the fold decided about an apply.
+// Result is the outcome of an apply.
 type Result struct {
 	Accepted bool
-	// Version is the version in force after the record.
+	// Version is the active version after the record.
 	Version int64
 }
 
-// LogState decides which document is in force: a pure function of the log, so that
-// all readers agree without talking. Start it before the first record.
+// LogState derives the active document from the log. It is a pure function of the records, so
+// that all readers agree without coordination. Call Reset before the first Add.
 type LogState struct {
-	// Version is the version in force; 0 before the first.
+	// Version is the active version; 0 before the first.
 	Version int64
-	// Config is the document in force; nil before the first.
+	// Config is the active document; nil before the first.
 	Config *runworks.Config
 	// Next is the offset of the next record to read.
 	Next int64
-	// DocumentOffset is the offset of the last record that carried the document in force.
+	// DocumentOffset is the offset of the last record that contains the active document.
 	DocumentOffset int64
-	// Results holds the decision about each apply that was seen, by its id.
+	// Results holds the outcome of the latest applies by record ID.
 	Results map[string]Result
 
 	// first is the offset of the first record seen.
 	first int64
-	// based is set once Version is known to follow from the whole log before.
-	based bool
-	// pending holds records seen before a basis was found.
+	// synced is set once Version is known to account for all earlier records.
+	synced bool
+	// pending holds the records seen before the state is synced.
 	pending []pendingRecord
-	// order holds the ids of Results, oldest first, to bound them.
-	order []string
+	// resultOrder lists the keys of Results, oldest first, to limit their number.
+	resultOrder []string
 }
 
 type pendingRecord struct {
@@ -80,82 +80,80 @@
 
 const maxResults = 10_000
 
-// Reset sets the offset of the first record to come; a log that is whole from
-// its first offset is a basis by itself.
-func (f *LogState) Reset(first int64) {
-	*f = LogState{Next: first, first: first, based: first == 0}
+// Reset sets the offset of the first record to come. A log that is complete from offset 0
+// needs no republished document to be synced.
+func (s *LogState) Reset(first int64) {
+	*s = LogState{Next: first, first: first, synced: first == 0}
 }
 
-// Synced says whether the version in force is known.
-func (f *LogState) Synced() bool { return f.based }
+// Synced reports whether the active version is known.
+func (s *LogState) Synced() bool { return s.synced }
 
-// Add takes the next record. What can't be decoded counts as no record, for
-// every reader alike.
-func (f *LogState) Add(rec runworks.LogRecord) {
-	f.Next = rec.Offset + 1
+// Add applies the next record. One that can't be decoded is ignored, by every reader alike.
+func (s *LogState) Add(rec runworks.LogRecord) {
+	s.Next = rec.Offset + 1
 	var r Record
 	if err := json.Unmarshal(rec.Data, &r); err != nil || r.Config == nil {
 		return
 	}
-	if f.based {
-		f.decide(rec.Offset, &r)
+	if s.synced {
+		s.decide(rec.Offset, &r)
 		return
 	}
-	f.pending = append(f.pending, pendingRecord{offset: rec.Offset, record: r})
+	s.pending = append(s.pending, pendingRecord{offset: rec.Offset, record: r})
 	if r.Kind == RecordRepublish {
-		f.tryBase(&r)
+		s.trySync(&r)
 	}
 }
 
-// tryBase starts from a restated document if every record after the offset it
-// speaks for has been seen.
-func (f *LogState) tryBase(r *Record) {
-	if r.AsOf+1 < f.first {
+// trySync starts from a republished document if every record after its offset AsOf was seen.
+func (s *LogState) trySync(r *Record) {
+	if r.AsOf+1 < s.first {
 		return
 	}
-	f.based = true
-	f.Version = r.Version
-	f.Config = r.Config
-	pending := f.pending
-	f.pending = nil
+	s.synced = true
+	s.Version = r.Version
+	s.Config = r.Config
+	pending := s.pending
+	s.pending = nil
 	for i := range pending {
 		if pending[i].offset > r.AsOf {
-			f.decide(pending[i].offset, &pending[i].record)
+			s.decide(pending[i].offset, &pending[i].record)
 		}
 	}
 }
 
-// decide accepts an apply that is based on the version in force and has no
-// mistakes. A restated document never changes the version.
-func (f *LogState) decide(offset int64, r *Record) {
-	if r.Kind == RecordRepublish && r.Version == f.Version {
-		f.DocumentOffset = offset
+// decide accepts an apply that is based on the active version and has no mistakes. A
+// republished document never changes the version.
+func (s *LogState) decide(offset int64, r *Record) {
+	if r.Kind == RecordRepublish && r.Version == s.Version {
+		s.DocumentOffset = offset
 	}
 	if r.Kind != RecordApply {
 		return
 	}
-	accepted := r.Base == f.Version && len(Check(r.Config)) == 0
+	accepted := r.Base == s.Version && len(Check(r.Config)) == 0
 	if accepted {
-		f.Version++
-		f.Config = r.Config
-		f.DocumentOffset = offset
+		s.Version++
+		s.Config = r.Config
+		s.DocumentOffset = offset
 	}
-	f.remember(r.ID, Result{Accepted: accepted, Version: f.Version})
+	s.storeResult(r.ID, Result{Accepted: accepted, Version: s.Version})
 }
 
-// remember keeps the decision about an id, and forgets the oldest ones. The same
-// record twice counts once by its base alone; its first acceptance stands.
-func (f *LogState) remember(id string, result Result) {
-	if before, again := f.Results[id]; again && (before.Accepted || !result.Accepted) {
+// storeResult stores the outcome of an apply and drops the oldest ones. If a record appears
+// twice, its first acceptance is kept: the second is rejected by its base.
+func (s *LogState) storeResult(id string, result Result) {
+	if before, again := s.Results[id]; again && (before.Accepted || !result.Accepted) {
 		return
 	}
-	if f.Results == nil {
-		f.Results = make(map[string]Result)
+	if s.Results == nil {
+		s.Results = make(map[string]Result)
 	}
-	f.Results[id] = result
-	f.order = append(f.order, id)
-	if len(f.order) > maxResults {
-		delete(f.Results, f.order[0])
-		f.order = f.order[1:]
+	s.Results[id] = result
+	s.resultOrder = append(s.resultOrder, id)
+	if len(s.resultOrder) > maxResults {
+		delete(s.Results, s.resultOrder[0])
+		s.resultOrder = s.resultOrder[1:]
 	}
 }
--- a/services/config/log_state_test.go
+++ b/services/config/log_state_test.go
@@ -20,10 +20,11 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// CI gives the same verdict every run; -rapid.seed on the command line goes first.
+// The seed is fixed so that CI runs are reproducible; -rapid.seed on the command line
+// overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// document makes a good configuration that can be told from others.
+// document returns a valid configuration that is distinguished by n.
 func document(n int) *runworks.Config {
 	return &runworks.Config{
 		Services: []runworks.Service{{Name: "llm", Kind: runworks.KindEngine, Models: []string{"m"}, BackendServers: []runworks.BackendServer{
@@ -34,8 +35,8 @@
 	}
 }
 
-// mark tells which document is in force.
-func mark(cfg *runworks.Config) int {
+// documentNumber returns the number of a document; 0 for nil.
+func documentNumber(cfg *runworks.Config) int {
 	if cfg == nil {
 		return 0
 	}
@@ -50,9 +51,9 @@
 	return data
 }
 
-// TestFoldAgreesFromEveryOffset builds random logs of applies, some late, some
-// doubled, some broken, and restated documents, some of them overtaken; a reader
-// that begins at any offset agrees with one that read all, or knows nothing yet.
+// TestFoldAgreesFromEveryOffset generates logs of applies and republished documents, some of
+// them late, duplicate or invalid. A reader that starts at any offset must agree with one that
+// has read the whole log, or not be synced yet.
 func TestFoldAgreesFromEveryOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []runworks.LogRecord
@@ -75,17 +76,16 @@
 			for _, rec := range log[first:] {
 				late.Add(rec)
 				want := &states[rec.Offset+1]
-				if late.Synced() && (late.Version != want.Version || mark(late.Config) != mark(want.Config)) {
-					t.Fatalf("from %d: version %d (%d) at %d, want %d (%d)",
-						first, late.Version, mark(late.Config), rec.Offset, want.Version, mark(want.Config))
+				if late.Synced() && (late.Version != want.Version || documentNumber(late.Config) != documentNumber(want.Config)) {
+					t.Fatalf("read from %d: version %d (%d) at %d, want %d (%d)",
+						first, late.Version, documentNumber(late.Config), rec.Offset, want.Version, documentNumber(want.Config))
 				}
 			}
 		}
 	})
 }
 
-// randomRecord makes the next record: of a writer that knows a state of now, or
-// of some records ago.
+// randomRecord returns the next record of a writer whose state is up to three records old.
 func randomRecord(t *rapid.T, n int, states []LogState) []byte {
 	known := &states[len(states)-1-rapid.IntRange(0, min(3, len(states)-1)).Draw(t, "lag")]
 	switch rapid.SampledFrom([]string{"apply", "apply", "restate", "again", "bad", "noise"}).Draw(t, "kind") {
@@ -106,7 +106,7 @@
 	return encode(t, Record{Kind: RecordApply, ID: fmt.Sprint(n), Base: known.Version, Config: document(n)})
 }
 
-// applyInput and applyOutput are one apply of an operator, for the checker.
+// applyInput and applyOutput describe one Apply of an operator for the checker.
 type applyInput struct {
 	base int64
 }
@@ -117,8 +117,8 @@
 	unknown  bool
 }
 
-// registerModel is a version that applies compare and set; an apply of unknown
-// fate may have taken effect or not.
+// registerModel is a version register with compare-and-set. An apply with unknown outcome may
+// or may not have taken effect.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, output any) []any {
@@ -140,8 +140,8 @@
 	},
 }
 
-// TestRacingOperators lets operators race, with lost answers and outages; the
-// history of what they were told is that of one register with compare-and-set.
+// TestRacingOperators runs concurrent applies with lost responses and an outage. The history
+// must be linearizable as one register with compare-and-set.
 func TestRacingOperators(t *testing.T) {
 	for seed := range 20 {
 		synctest.Test(t, func(t *testing.T) {
@@ -176,21 +176,21 @@
 				})
 			}
 			work.Go(func() {
-				log.SetFaults(standin.Faults{LoseAnswers: 5, LatencyMS: 3})
+				log.SetFaults(standin.LogFaults{LoseResponses: 5, LatencyMS: 3})
 				time.Sleep(60 * time.Millisecond)
-				log.SetFaults(standin.Faults{Outage: true})
+				log.SetFaults(standin.LogFaults{Outage: true})
 				time.Sleep(time.Second)
-				log.SetFaults(standin.Faults{LoseAnswers: 3})
+				log.SetFaults(standin.LogFaults{LoseResponses: 3})
 			})
 			work.Wait()
 			if !porcupine.CheckOperations(registerModel.ToModel(), ops) {
-				t.Errorf("seed %d: the operators were told what no order explains: %+v", seed, ops)
+				t.Errorf("seed %d: the results are not linearizable: %+v", seed, ops)
 			}
 		})
 	}
 }
 
-// TestRegisterCheckerCatches shows that the checker refuses two winners.
+// TestRegisterCheckerCatches checks that the checker rejects a history with two winners.
 func TestRegisterCheckerCatches(t *testing.T) {
 	is := is.New(t)
 	ops := []porcupine.Operation{
@@ -200,9 +200,9 @@
 	is.True(!porcupine.CheckOperations(registerModel.ToModel(), ops))
 }
 
-func follow(t *testing.T, log runworks.LogService, restate time.Duration) (f *Follower, stop func()) {
+func startFollower(t *testing.T, log runworks.LogService, republishInterval time.Duration) (f *Follower, stop func()) {
 	t.Helper()
-	f = &Follower{Log: log, PollInterval: time.Second, RepublishInterval: restate, Logger: hclog.NewNullLogger()}
+	f = &Follower{Log: log, PollInterval: time.Second, RepublishInterval: republishInterval, Logger: hclog.NewNullLogger()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -215,9 +215,9 @@
 	}
 }
 
-// TestRetentionKeepsTheDocument lets records expire for an hour, with ten
-// followers that restate; a late joiner still learns the document, and it was
-// put on the log again by about one of them each time.
+// TestRetentionKeepsTheDocument runs ten followers that republish the document for an hour,
+// while the log drops old records. A follower that starts late must still get the document,
+// and it must be republished about once per interval, not once per follower.
 func TestRetentionKeepsTheDocument(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -225,41 +225,42 @@
 		_, err := Apply(t.Context(), log, 0, document(7))
 		is.NoErr(err)
 		for range 10 {
-			_, stop := follow(t, log, 5*time.Minute)
+			_, stop := startFollower(t, log, 5*time.Minute)
 			defer stop()
 		}
 		for range 4 {
 			time.Sleep(15 * time.Minute)
-			late, stop := follow(t, log, time.Hour)
+			lateFollower, stop := startFollower(t, log, time.Hour)
 			time.Sleep(2 * time.Second)
-			is.Equal(late.Version(), int64(1))
-			is.Equal(mark(late.Active().Config), 7)
+			is.Equal(lateFollower.Version(), int64(1))
+			is.Equal(documentNumber(lateFollower.Active().Config), 7)
 			stop()
 		}
 		page, err := log.Read(t.Context(), 0)
 		is.True(errors.Is(err, runworks.ErrTruncated)) // the first record is gone
-		is.True(page.Next < 40)                        // one hour of ten followers, every five to seven minutes
+		is.True(page.Next < 40)                        // one hour of ten followers, every 5 to 7.5 minutes
 		t.Logf("%d records in an hour", page.Next)
 	})
 }
 
-// TestOutageKeepsWhatIsInForce goes through an outage: what is in force stays,
-// apply fails clearly, and the next version comes within seconds after it.
-func TestOutageKeepsWhatIsInForce(t *testing.T) {
+// TestOutageKeepsActiveConfig checks that during an outage of the log the active
+// configuration is kept and Apply fails, and that the next version becomes active within
+// seconds after it.
+func TestOutageKeepsActiveConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log := &standin.Log{}
 		_, err := Apply(t.Context(), log, 0, document(1))
 		is.NoErr(err)
-		f, stop := follow(t, log, time.Hour)
+		f, stop := startFollower(t, log, time.Hour)
 		defer stop()
 		time.Sleep(2 * time.Second)
-		log.SetFaults(standin.Faults{Outage: true})
+		log.SetFaults(standin.LogFaults{Outage: true})
 		time.Sleep(10 * time.Minute)
 		is.Equal(f.Version(), int64(1))
 		_, err = Apply(t.Context(), log, 1, document(2))
 		is.True(errors.Is(err, standin.ErrOutage))
-		log.SetFaults(standin.Faults{})
+		log.SetFaults(standin.LogFaults{})
 		_, err = Apply(t.Context(), log, 1, document(2))
 		is.NoErr(err)
 		time.Sleep(2 * time.Second)
@@ -267,21 +268,21 @@
 	})
 }
 
-// TestPeerDocument takes a peer's document when the log can't be read, and never
-// an older one.
+// TestPeerDocument checks that a document of a peer is applied, but never an older or invalid
+// one.
 func TestPeerDocument(t *testing.T) {
 	is := is.New(t)
 	f := &Follower{Logger: hclog.NewNullLogger()}
 	f.ApplyDocument(5, document(5))
 	f.ApplyDocument(3, document(3))
 	is.Equal(f.Version(), int64(5))
-	is.Equal(mark(f.Active().Config), 5)
+	is.Equal(documentNumber(f.Active().Config), 5)
 	f.ApplyDocument(6, &runworks.Config{})
-	is.Equal(f.Version(), int64(5)) // a document with mistakes is passed over
+	is.Equal(f.Version(), int64(5)) // an invalid document is ignored
 }
 
-// BenchmarkFold measures a change of the size that is designed for, from the
-// record's bytes to being in force.
+// BenchmarkFold measures a change at the design size, from the bytes of the record to the
+// snapshot.
 func BenchmarkFold(b *testing.B) {
 	for _, servers := range []int{350, 3500} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -301,7 +302,7 @@
 	}
 }
 
-// largeConfig makes a configuration of some size.
+// largeConfig returns a configuration with the given numbers of servers and customers.
 func largeConfig(servers, customers int) *runworks.Config {
 	cfg := document(1)
 	s := &cfg.Services[0]
--- a/services/config/snapshot.go
+++ b/services/config/snapshot.go
@@ -10,12 +10,12 @@
 	"github.com/runworks/runworks"
 )
 
-// Snapshot is a configuration in force, with the look-ups that requests need.
-// It is never changed once built.
+// Snapshot is an active configuration with indexes for the look-ups that requests need. It is
+// immutable.
 type Snapshot struct {
-	// Version counts accepted documents, from 1.
+	// Version counts the accepted documents, from 1.
 	Version int64
-	// Config is the document.
+	// Config is the document. It must not be changed.
 	Config *runworks.Config
 
 	services  map[string]*runworks.Service
@@ -24,80 +24,79 @@
 	keys      map[string]*runworks.Customer
 	customers map[string]*runworks.Customer
 	tiers     map[string]*runworks.Tier
-	homes     map[string]*rendezvous.Rendezvous
+	keyOwners map[string]*rendezvous.Rendezvous
 }
 
-// ServerInfo is a backend server with the service it belongs to.
+// ServerInfo is a backend server and the service it belongs to.
 type ServerInfo struct {
 	Service *runworks.Service
 	Server  *runworks.BackendServer
 }
 
-// NewSnapshot builds the look-ups of a checked document.
+// NewSnapshot builds the indexes of a valid document.
 func NewSnapshot(version int64, cfg *runworks.Config) *Snapshot {
-	f := &Snapshot{
+	s := &Snapshot{
 		Version: version, Config: cfg,
 		services: map[string]*runworks.Service{}, models: map[string]*runworks.Service{},
 		servers: map[string]*ServerInfo{}, keys: map[string]*runworks.Customer{},
 		customers: map[string]*runworks.Customer{}, tiers: map[string]*runworks.Tier{},
-		homes: map[string]*rendezvous.Rendezvous{},
+		keyOwners: map[string]*rendezvous.Rendezvous{},
 	}
 	for i := range cfg.Services {
-		f.addService(&cfg.Services[i])
+		s.addService(&cfg.Services[i])
 	}
 	for i := range cfg.Customers {
 		one := &cfg.Customers[i]
-		f.customers[one.Name] = one
+		s.customers[one.Name] = one
 		for _, hash := range one.KeySHA256 {
-			f.keys[hash] = one
+			s.keys[hash] = one
 		}
 	}
 	for i := range cfg.Tiers {
-		f.tiers[cfg.Tiers[i].Name] = &cfg.Tiers[i]
+		s.tiers[cfg.Tiers[i].Name] = &cfg.Tiers[i]
 	}
-	return f
+	return s
 }
 
-func (f *Snapshot) addService(s *runworks.Service) {
-	f.services[s.Name] = s
+func (c *Snapshot) addService(s *runworks.Service) {
+	c.services[s.Name] = s
 	for _, model := range s.Models {
-		f.models[model] = s
+		c.models[model] = s
 	}
 	names := make([]string, 0, len(s.BackendServers))
 	for i := range s.BackendServers {
 		b := &s.BackendServers[i]
-		f.servers[b.Name] = &ServerInfo{Service: s, Server: b}
+		c.servers[b.Name] = &ServerInfo{Service: s, Server: b}
 		names = append(names, b.Name)
 	}
 	sort.Strings(names)
-	f.homes[s.Name] = rendezvous.New(names, xxhash.Sum64String)
+	c.keyOwners[s.Name] = rendezvous.New(names, xxhash.Sum64String)
 }
 
-// CustomerByKey finds who owns a key; nil if nobody does.
-func (f *Snapshot) CustomerByKey(key string) *runworks.Customer {
-	return f.keys[runworks.HashKey(key)]
+// CustomerByKey returns the customer with an API key; nil if there is none.
+func (c *Snapshot) CustomerByKey(key string) *runworks.Customer {
+	return c.keys[runworks.HashKey(key)]
 }
 
-// Customer finds a customer by name; nil if there is none.
-func (f *Snapshot) Customer(name string) *runworks.Customer { return f.customers[name] }
+// Customer returns a customer by name; nil if there is none.
+func (c *Snapshot) Customer(name string) *runworks.Customer { return c.customers[name] }
 
-// Service finds a service by name; nil if there is none.
-func (f *Snapshot) Service(name string) *runworks.Service { return f.services[name] }
+// Service returns a service by name; nil if there is none.
+func (c *Snapshot) Service(name string) *runworks.Service { return c.services[name] }
 
-// ServiceByModel finds the service that answers to a model; nil if there is none.
-func (f *Snapshot) ServiceByModel(model string) *runworks.Service { return f.models[model] }
+// ServiceByModel returns the service that serves a model; nil if there is none.
+func (c *Snapshot) ServiceByModel(model string) *runworks.Service { return c.models[model] }
 
-// Server finds a backend server by name; nil if there is none.
-func (f *Snapshot) Server(server string) *ServerInfo { return f.servers[server] }
+// Server returns a backend server by name; nil if there is none.
+func (c *Snapshot) Server(server string) *ServerInfo { return c.servers[server] }
 
-// Tier finds a tier by name; nil if there is none.
-func (f *Snapshot) Tier(name string) *runworks.Tier { return f.tiers[name] }
+// Tier returns a tier by name; nil if there is none.
+func (c *Snapshot) Tier(name string) *runworks.Tier { return c.tiers[name] }
 
-// Rule finds the first rule for a customer, a kind and a service; nil if none
-// allows it.
-func (f *Snapshot) Rule(customer, kind, service string) *runworks.Rule {
-	for i := range f.Config.Rules {
-		r := &f.Config.Rules[i]
+// Rule returns the first rule for a customer, a kind and a service; nil if none matches.
+func (c *Snapshot) Rule(customer, kind, service string) *runworks.Rule {
+	for i := range c.Config.Rules {
+		r := &c.Config.Rules[i]
 		if r.Kind != kind || !slices.Contains(r.Services, service) {
 			continue
 		}
@@ -108,31 +107,32 @@
 	return nil
 }
 
-// KeyOwner names the backend server whose agent decides about a customer's
-// idempotency key, by rendezvous hash over the service's backend servers.
-func (f *Snapshot) KeyOwner(service, customer, key string) string {
-	ring := f.homes[service]
+// KeyOwner returns the backend server whose agent owns a customer's idempotency key, by
+// rendezvous hashing over the servers of the service; empty if the service is unknown.
+func (c *Snapshot) KeyOwner(service, customer, key string) string {
+	ring := c.keyOwners[service]
 	if ring == nil {
 		return ""
 	}
 	return ring.Lookup(customer + "\x00" + key)
 }
 
-// ReservedSlots gives the slots of each engine kept for tiers higher than rank.
-func (f *Snapshot) ReservedSlots(rank int) int {
+// ReservedSlots returns the number of slots per backend server that are reserved for tiers
+// higher than rank.
+func (c *Snapshot) ReservedSlots(rank int) int {
 	n := 0
-	for i := range f.Config.Tiers {
-		if f.Config.Tiers[i].Rank < rank {
-			n += f.Config.Tiers[i].ReservedSlots
+	for i := range c.Config.Tiers {
+		if c.Config.Tiers[i].Rank < rank {
+			n += c.Config.Tiers[i].ReservedSlots
 		}
 	}
 	return n
 }
 
-// Successor names the backend server whose agent keeps the key records of another's
-// home after a planned stop; empty if there is no other.
-func (f *Snapshot) Successor(service, server string) string {
-	s := f.services[service]
+// Successor returns the backend server whose agent takes over the key records of a server's
+// agent after a planned stop; empty if there is no other.
+func (c *Snapshot) Successor(service, server string) string {
+	s := c.services[service]
 	if s == nil {
 		return ""
 	}
@@ -149,10 +149,10 @@
 	return rendezvous.New(others, xxhash.Sum64String).Lookup(server)
 }
 
-// Allows says whether any rule opens a service to a customer.
-func (f *Snapshot) Allows(customer, service string) bool {
-	for i := range f.Config.Rules {
-		r := &f.Config.Rules[i]
+// Allows reports whether any rule allows a customer to use a service.
+func (c *Snapshot) Allows(customer, service string) bool {
+	for i := range c.Config.Rules {
+		r := &c.Config.Rules[i]
 		mine := len(r.Customers) == 0 || slices.Contains(r.Customers, customer)
 		if mine && slices.Contains(r.Services, service) {
 			return true
--- a/services/idempotency/doc.go
+++ b/services/idempotency/doc.go
@@ -1,3 +1,3 @@
-// Package idempotency decides, at one agent, about the idempotency keys whose home it
-// is: which request may run under a key, and where it runs or ran.
+// Package idempotency implements the key table of an agent. The agent that owns an idempotency
+// key decides which request may run under it and records where that request runs or ran.
 package idempotency
--- a/services/idempotency/handover.go
+++ b/services/idempotency/handover.go
@@ -6,12 +6,13 @@
 	"github.com/runworks/runworks/services/control"
 )
 
-// Export takes no more binds and ends, and gives the records, for a planned stop.
-// A key without a bound run is given as spent: nothing can run under it any more.
-func (h *Table) Export() []control.KeyRecord {
-	h.closed = true
-	out := make([]control.KeyRecord, 0, len(h.records))
-	for n, r := range h.records {
+// Export closes the table for a planned stop and returns its records; from then on Bind and
+// Release fail. A key without a bound run is exported as spent, since no request can run under
+// it any more.
+func (t *Table) Export() []control.KeyRecord {
+	t.closed = true
+	out := make([]control.KeyRecord, 0, len(t.records))
+	for n, r := range t.records {
 		out = append(out, control.KeyRecord{
 			Customer: n.customer, Key: n.key, Digest: r.digest, Run: r.run, Spent: !r.bound,
 		})
@@ -19,24 +20,25 @@
 	return out
 }
 
-// Import keeps the records that another home handed over at its planned stop.
-func (h *Table) Import(now time.Time, records []control.KeyRecord) {
-	if h.taken == nil {
-		h.taken = make(map[name]*record)
+// Import stores the records that another key owner exported at its planned stop.
+func (t *Table) Import(now time.Time, records []control.KeyRecord) {
+	if t.imported == nil {
+		t.imported = make(map[keyID]*record)
 	}
-	h.forgetTaken(now)
+	t.expireImported(now)
 	for i := range records {
 		one := &records[i]
-		n := name{customer: one.Customer, key: one.Key}
-		h.taken[n] = &record{digest: one.Digest, bound: !one.Spent, run: one.Run, spent: one.Spent}
-		h.takenOrder = append(h.takenOrder, expiry{name: n, at: now.Add(2*h.Retention + h.MaxClockSkew)})
+		id := keyID{customer: one.Customer, key: one.Key}
+		t.imported[id] = &record{digest: one.Digest, bound: !one.Spent, run: one.Run, spent: one.Spent}
+		t.importedOrder = append(t.importedOrder, expiry{id: id, at: now.Add(2*t.Retention + t.MaxClockSkew)})
 	}
 }
 
-// LookupImported tells what another home knew of a key. It never lets a request run.
-func (h *Table) LookupImported(now time.Time, c *control.KeyClaim) control.KeyReply {
-	h.forgetTaken(now)
-	r := h.taken[name{customer: c.Customer, key: c.Key}]
+// LookupImported returns what another key owner recorded for a key. It never allows a request
+// to run.
+func (t *Table) LookupImported(now time.Time, c *control.KeyClaim) control.KeyReply {
+	t.expireImported(now)
+	r := t.imported[keyID{customer: c.Customer, key: c.Key}]
 	switch {
 	case r == nil:
 		return control.KeyReply{Verdict: control.KeyTooOld}
@@ -48,10 +50,10 @@
 	return control.KeyReply{Verdict: control.KeyBound, Run: r.run}
 }
 
-// forgetTaken drops the records of other homes that are past their time.
-func (h *Table) forgetTaken(now time.Time) {
-	for len(h.takenOrder) > 0 && now.After(h.takenOrder[0].at) {
-		delete(h.taken, h.takenOrder[0].name)
-		h.takenOrder = h.takenOrder[1:]
+// expireImported deletes imported records whose retention has ended.
+func (t *Table) expireImported(now time.Time) {
+	for len(t.importedOrder) > 0 && now.After(t.importedOrder[0].at) {
+		delete(t.imported, t.importedOrder[0].id)
+		t.importedOrder = t.importedOrder[1:]
 	}
 }
--- a/services/idempotency/table.go
+++ b/services/idempotency/table.go
@@ -9,51 +9,53 @@
 	"github.com/runworks/runworks/services/control"
 )
 
-// Table keeps the records of keys; set the exported fields before use. It takes
-// no lock: its owner does. Times are wall-clock times, as keys carry them.
+// Table holds the records of the keys that one agent owns. Set the exported fields before use.
+// It is not safe for concurrent use. Times are wall-clock times, as the keys contain them.
 type Table struct {
-	// Started is when this incarnation began.
+	// Started is the time at which this incarnation of the agent started.
 	Started time.Time
-	// MaxClockSkew bounds how far the clocks of callers, entries and agents are apart.
+	// MaxClockSkew is the maximum difference between the clocks of callers, entries and agents.
 	MaxClockSkew time.Duration
-	// Retention is how long after it was minted a key may be used first, and how
-	// long its record stays.
+	// Retention is how long after its creation a key may be used for the first time. Its record
+	// is kept longer, see insert.
 	Retention time.Duration
-	// MaxKeys bounds the records.
+	// MaxKeys limits the number of records.
 	MaxKeys int
 
-	records map[name]*record
-	// order lists the records by the time they may be forgotten at the earliest.
+	records map[keyID]*record
+	// order lists the records by their expiry.
 	order []expiry
-	// closed is set once the records were handed over.
+	// closed is set once the records were exported.
 	closed bool
-	// taken holds records that other homes handed over, in takenOrder.
-	taken      map[name]*record
-	takenOrder []expiry
+	// imported holds the records of other key owners; importedOrder lists them by their expiry.
+	imported      map[keyID]*record
+	importedOrder []expiry
 }
 
-type name struct {
+type keyID struct {
 	customer string
 	key      string
 }
 
 type expiry struct {
-	name name
-	at   time.Time
+	id keyID
+	at time.Time
 }
 
-// record is what is known of one key.
+// record is the state of one key.
 type record struct {
-	digest string
-	owner  runworks.RequestID
-	source runworks.Incarnation
-	bound  bool
-	run    control.RunLocation
-	// spent is set once a caller was told not-run: nothing may run any more.
+	digest   string
+	claimant runworks.RequestID
+	source   runworks.Incarnation
+	bound    bool
+	run      control.RunLocation
+	// spent is set once a caller was told that its request did not run: no request may run under
+	// the key any more.
 	spent bool
 }
 
-// CreatedAt reads the time at which a key was made; ok is set for a UUIDv7 only.
+// CreatedAt returns the time at which a key was created. ok is false if the key is not a
+// UUIDv7.
 func CreatedAt(key string) (at time.Time, ok bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 || len(key) != len(id.String()) {
@@ -66,44 +68,44 @@
 	return time.UnixMilli(ms), true
 }
 
-// OwnedElsewhere says whether the key had another home at any time since.
+// OwnedElsewhere reports whether the key had another owner at any time since.
 type OwnedElsewhere func(since time.Time) bool
 
-// Claim decides about a request that wants to run under a key. source is the
-// entry that asks.
-func (h *Table) Claim(now time.Time, source runworks.Incarnation, c *control.KeyClaim, elsewhere OwnedElsewhere) control.KeyReply {
-	h.forget(now)
-	n := name{customer: c.Customer, key: c.Key}
-	if r := h.records[n]; r != nil {
-		return h.again(r, source, c)
+// Claim decides whether a request may run under a key. source is the entry that sent the
+// claim.
+func (t *Table) Claim(now time.Time, source runworks.Incarnation, c *control.KeyClaim, elsewhere OwnedElsewhere) control.KeyReply {
+	t.expire(now)
+	id := keyID{customer: c.Customer, key: c.Key}
+	if r := t.records[id]; r != nil {
+		return t.claimExisting(r, source, c)
 	}
-	if verdict := h.mayBeFirst(now, c, elsewhere); verdict != control.KeyFresh {
+	if verdict := t.checkUnused(now, c, elsewhere); verdict != control.KeyFresh {
 		return control.KeyReply{Verdict: verdict}
 	}
-	h.insert(now, n, &record{digest: c.Digest, owner: c.ID, source: source})
+	t.insert(now, id, &record{digest: c.Digest, claimant: c.ID, source: source})
 	return control.KeyReply{Verdict: control.KeyFresh}
 }
 
-// mayBeFirst says whether a key without a record is proved to be unused.
-func (h *Table) mayBeFirst(now time.Time, c *control.KeyClaim, elsewhere OwnedElsewhere) control.KeyVerdict {
-	minted, ok := CreatedAt(c.Key)
+// checkUnused returns KeyFresh if a key without a record provably was not used before.
+func (t *Table) checkUnused(now time.Time, c *control.KeyClaim, elsewhere OwnedElsewhere) control.KeyVerdict {
+	created, ok := CreatedAt(c.Key)
 	switch {
 	case !ok:
 		return control.KeyTooOld
-	case minted.After(now.Add(h.MaxClockSkew)):
+	case created.After(now.Add(t.MaxClockSkew)):
 		return control.KeyEarly
-	case minted.Before(h.Started.Add(h.MaxClockSkew)), minted.Before(now.Add(-h.Retention)):
+	case created.Before(t.Started.Add(t.MaxClockSkew)), created.Before(now.Add(-t.Retention)):
 		return control.KeyTooOld
-	case elsewhere(minted.Add(-h.MaxClockSkew)):
+	case elsewhere(created.Add(-t.MaxClockSkew)):
 		return control.KeyTooOld
-	case len(h.records) >= h.MaxKeys:
+	case len(t.records) >= t.MaxKeys:
 		return control.KeyFull
 	}
 	return control.KeyFresh
 }
 
-// again answers a claim for a key that has a record.
-func (h *Table) again(r *record, source runworks.Incarnation, c *control.KeyClaim) control.KeyReply {
+// claimExisting decides about a claim for a key that has a record.
+func (t *Table) claimExisting(r *record, source runworks.Incarnation, c *control.KeyClaim) control.KeyReply {
 	switch {
 	case r.digest != c.Digest:
 		return control.KeyReply{Verdict: control.KeyReused}
@@ -111,21 +113,21 @@
 		return control.KeyReply{Verdict: control.KeySpent}
 	case r.bound:
 		return control.KeyReply{Verdict: control.KeyBound, Run: r.run}
-	case r.owner == "":
-		r.owner, r.source = c.ID, source
+	case r.claimant == "":
+		r.claimant, r.source = c.ID, source
 		return control.KeyReply{Verdict: control.KeyFresh}
-	case r.owner == c.ID:
+	case r.claimant == c.ID:
 		return control.KeyReply{Verdict: control.KeyFresh}
 	}
 	return control.KeyReply{Verdict: control.KeyWaiting}
 }
 
-// Bind binds a key to the place its request is about to run at; false means
-// that the request must not run. Its owner binds again only after proof that it
-// did not run at the former place.
-func (h *Table) Bind(b *control.KeyBind) bool {
-	r := h.records[name{customer: b.Customer, key: b.Key}]
-	if h.closed || r == nil || r.spent || r.owner != b.Run.ID.Base() {
+// Bind binds a key to the location at which its request is about to run. If it returns false,
+// the request must not run. The claimant may bind again, but only after proof that the request
+// did not run at the former location.
+func (t *Table) Bind(b *control.KeyBind) bool {
+	r := t.records[keyID{customer: b.Customer, key: b.Key}]
+	if t.closed || r == nil || r.spent || r.claimant != b.Run.ID.Base() {
 		return false
 	}
 	r.bound = true
@@ -133,62 +135,62 @@
 	return true
 }
 
-// End ends a key whose request provably did not run, and says whether it took
-// effect. An owner's end spends the key for good: only then may a caller be told
-// not-run, as an older call under the key may still be on its way. An end that
-// names a run frees the key for the next comer.
-func (h *Table) End(e *control.KeyRelease) bool {
-	r := h.records[name{customer: e.Customer, key: e.Key}]
+// Release ends the use of a key by a request that provably did not run, and reports whether it
+// took effect. If the message names a run, the key can be claimed again. Otherwise, the
+// message is from the claimant and the key is spent: only then may a caller be told that its
+// request did not run, as an older call under the key may still arrive.
+func (t *Table) Release(e *control.KeyRelease) bool {
+	r := t.records[keyID{customer: e.Customer, key: e.Key}]
 	switch {
-	case h.closed || r == nil || r.spent:
+	case t.closed || r == nil || r.spent:
 		return false
 	case e.Run != "":
-		return r.freeRun(e.Run)
-	case r.owner != e.ID:
+		return r.unbind(e.Run)
+	case r.claimant != e.ID:
 		return false
 	}
 	r.spent = true
 	return true
 }
 
-// freeRun takes back the binding to a run, and with it the owner's right.
-func (r *record) freeRun(run runworks.RequestID) bool {
+// unbind removes the binding to a run together with the claim.
+func (r *record) unbind(run runworks.RequestID) bool {
 	if !r.bound || r.run.ID != run {
 		return false
 	}
-	r.owner, r.source = "", ""
+	r.claimant, r.source = "", ""
 	r.bound = false
 	r.run = control.RunLocation{}
 	return true
 }
 
-// ReleaseSource frees the keys that an entry claimed and had not bound when its
-// connection went: a late bind of its is refused.
-func (h *Table) ReleaseSource(source runworks.Incarnation) {
-	for _, r := range h.records {
+// ReleaseSource frees the keys that an entry had claimed but not bound when its connection was
+// lost. A late Bind for such a claim is refused.
+func (t *Table) ReleaseSource(source runworks.Incarnation) {
+	for _, r := range t.records {
 		if r.source == source && !r.bound {
-			r.owner, r.source = "", ""
+			r.claimant, r.source = "", ""
 		}
 	}
 }
 
-// Len gives the number of records.
-func (h *Table) Len() int { return len(h.records) }
+// Len returns the number of records.
+func (t *Table) Len() int { return len(t.records) }
 
-func (h *Table) insert(now time.Time, n name, r *record) {
-	if h.records == nil {
-		h.records = make(map[name]*record)
+func (t *Table) insert(now time.Time, id keyID, r *record) {
+	if t.records == nil {
+		t.records = make(map[keyID]*record)
 	}
-	h.records[n] = r
-	// A key may be claimed first until Keep after it was minted, and minted may
-	// lie Skew ahead: by 2 Keep + Skew no claim of it can be taken for a first.
-	h.order = append(h.order, expiry{name: n, at: now.Add(2*h.Retention + h.MaxClockSkew)})
+	t.records[id] = r
+	// A key may be claimed first until Retention after its creation, which may be MaxClockSkew in
+	// the future: after 2 Retention + MaxClockSkew no claim can be taken for the first one.
+	t.order = append(t.order, expiry{id: id, at: now.Add(2*t.Retention + t.MaxClockSkew)})
 }
 
-// forget drops the records that are past their time.
-func (h *Table) forget(now time.Time) {
-	for len(h.order) > 0 && now.After(h.order[0].at) {
-		delete(h.records, h.order[0].name)
-		h.order = h.order[1:]
+// expire deletes the records whose retention has ended.
+func (t *Table) expire(now time.Time) {
+	for len(t.order) > 0 && now.After(t.order[0].at) {
+		delete(t.records, t.order[0].id)
+		t.order = t.order[1:]
 	}
 }
--- a/services/peers/peers_test.go
+++ b/services/peers/peers_test.go
@@ -250,12 +250,12 @@
 // after the network is restored.
 func TestUnreachableEntryTimesOut(t *testing.T) {
 	inNetwork(t, "key-of-the-fleet", func(is *is.I, network *memnet.Network, a, b *entry) {
-		network.Cut("a", "b")
+		network.Partition("a", "b")
 		time.Sleep(minPeerTimeout + time.Second)
 		is.Equal(a.LiveCount(), 0)
 		is.Equal(len(a.gone), 1)
 		network.Reset("a", "b")
-		network.Mend("a", "b")
+		network.Heal("a", "b")
 		b.setRunning(7)
 		time.Sleep(2 * maxRedialWait)
 		is.Equal(a.runningAt("b"), 7)
--- a/services/peers/readers_test.go
+++ b/services/peers/readers_test.go
@@ -59,7 +59,7 @@
 			if e.Self.Name == first[0] {
 				for _, other := range list {
 					if other != e {
-						network.Cut(e.Self.Name, other.Self.Name)
+						network.Partition(e.Self.Name, other.Self.Name)
 					}
 				}
 				continue
--- a/services/peers/server_notices_test.go
+++ b/services/peers/server_notices_test.go
@@ -71,7 +71,7 @@
 		is.Equal(server, "s")
 		_, err = a.RequestPermits(context.Background(), "nobody", PermitRequest{Server: "s", Permits: 2})
 		is.True(err != nil)
-		network.Cut("a", "b")
+		network.Partition("a", "b")
 		start := time.Now()
 		_, err = a.RequestPermits(context.Background(), b.Self.Incarnation, PermitRequest{Server: "s", Permits: 2})
 		is.True(err != nil)
--- a/services/peers/suspects_test.go
+++ b/services/peers/suspects_test.go
@@ -35,9 +35,9 @@
 // cutUntilTimeout cuts the connection of a and b until each timed out at the other, and restores
 // it.
 func cutUntilTimeout(network *memnet.Network) {
-	network.Cut("a", "b")
+	network.Partition("a", "b")
 	time.Sleep(minPeerTimeout + time.Second)
 	network.Reset("a", "b")
-	network.Mend("a", "b")
+	network.Heal("a", "b")
 	time.Sleep(2 * maxRedialWait)
 }
--- a/services/reservation/doc.go
+++ b/services/reservation/doc.go
@@ -1,4 +1,4 @@
-// Package reservation orders the tickets that wait at an agent: by tier, then by
-// fair share between customers, then by time left; and it decides which ticket
-// is refused or dropped when the bound is reached.
+// Package reservation implements an agent's queue of waiting requests. It is ordered by tier,
+// then by fair share between customers, then by deadline, and has an upper limit at which
+// reservations are refused or dropped.
 package reservation
--- a/services/reservation/fair.go
+++ b/services/reservation/fair.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// tier shares one rank between its customers by start-time fair queueing.
+// tier is the queue of one rank. It serves the customers by start-time fair queueing.
 type tier struct {
 	rank      int
 	size      int
 	customers map[string]*customer
 	active    activeHeap
-	// virtual is the start time of the ticket served last, in tokens by weight.
-	virtual float64
+	// virtualTime is the start time of the reservation served last, in tokens divided by weight.
+	virtualTime float64
 }
 
-// customer holds the waiting tickets of one customer in one tier.
+// customer holds the waiting reservations of one customer in one tier.
 type customer struct {
 	tier    *tier
 	name    string
@@ -36,19 +36,20 @@
 	heap.Push(&c.waiting, w)
 	t.size++
 	if c.index < 0 {
-		c.start = max(c.start, t.virtual)
+		c.start = max(c.start, t.virtualTime)
 		heap.Push(&t.active, c)
 	}
 }
 
-// pop takes the most urgent ticket of the customer who is owed most.
+// pop removes the reservation with the earliest deadline of the customer with the earliest
+// start time.
 func (t *tier) pop() *Item {
 	c := t.active[0]
 	w, _ := heap.Pop(&c.waiting).(*Item)
 	t.size--
-	t.virtual = c.start
+	t.virtualTime = c.start
 	c.start += w.Cost() / c.weight
-	t.settle(c)
+	t.reorder(c)
 	return w
 }
 
@@ -56,29 +57,30 @@
 	c := w.customer
 	heap.Remove(&c.waiting, w.index)
 	t.size--
-	t.settle(c)
+	t.reorder(c)
 }
 
-// settle puts a customer in its place after its tickets changed. A customer
-// who has none left and is owed no debt is forgotten.
-func (t *tier) settle(c *customer) {
+// reorder updates the position of a customer in the heap after its reservations changed. A
+// customer with no reservations left is removed from the heap.
+func (t *tier) reorder(c *customer) {
 	if len(c.waiting) > 0 {
 		heap.Fix(&t.active, c.index)
 		return
 	}
 	heap.Remove(&t.active, c.index)
 	c.index = -1
-	t.forget()
+	t.dropIdle()
 }
 
-// forget drops idle customers whose start time the tier has passed.
-func (t *tier) forget() {
-	const sweep = 64
-	if len(t.customers) < 2*len(t.active)+sweep {
+// dropIdle deletes idle customers whose start time is not after the virtual time: they would
+// start at the virtual time anyway.
+func (t *tier) dropIdle() {
+	const slack = 64
+	if len(t.customers) < 2*len(t.active)+slack {
 		return
 	}
 	for name, c := range t.customers {
-		if c.index < 0 && c.start <= t.virtual {
+		if c.index < 0 && c.start <= t.virtualTime {
 			delete(t.customers, name)
 		}
 	}
@@ -128,7 +130,7 @@
 	return c
 }
 
-// waitingHeap orders tickets by time left.
+// waitingHeap orders reservations by deadline plus order delay.
 type waitingHeap []*Item
 
 func (h waitingHeap) Len() int { return len(h) }
--- a/services/reservation/queue.go
+++ b/services/reservation/queue.go
@@ -7,18 +7,17 @@
 	"github.com/runworks/runworks"
 )
 
-// Source names the entry, by its incarnation, that placed a ticket.
+// Source is the incarnation of the entry that made a reservation.
 type Source = runworks.Incarnation
 
-// Item is a ticket that waits, with who placed it and when it lapses.
+// Item is a queued reservation.
 type Item struct {
 	runworks.Reservation
-	// Source is the entry that placed the ticket.
+	// Source is the entry that made the reservation.
 	Source Source
 	// Deadline is the end of the request's time limit on the agent's clock.
 	Deadline time.Time
-	// OrderDelay is how much later than by its deadline the ticket stands in its customer's
-	// order.
+	// OrderDelay is added to the deadline to order the reservations of one customer.
 	OrderDelay time.Duration
 
 	seq      uint64
@@ -26,49 +25,50 @@
 	customer *customer
 }
 
-// Queue holds waiting tickets; set the exported fields before use. It takes no
-// lock: its owner does.
+// Queue holds the waiting reservations. Set the exported fields before use. It is not safe for
+// concurrent use.
 type Queue struct {
-	// MaxWaiting bounds the number of tickets.
+	// MaxWaiting limits the number of reservations.
 	MaxWaiting int
-	// ThresholdDuration is how long no lower tier is taken after a tier was refused.
+	// ThresholdDuration is how long lower tiers are refused after the refusal of a reservation.
 	ThresholdDuration time.Duration
 
 	tiers []*tier
 	byID  map[runworks.RequestID]*Item
 	seq   uint64
 
-	// floors holds, for each refused rank, until when lower tiers are barred.
-	floors map[int]time.Time
+	// thresholds holds, for each refused rank, the time until which lower tiers are refused.
+	thresholds map[int]time.Time
 }
 
-// Verdict says what became of a ticket that was offered.
+// Verdict is the result of Offer.
 type Verdict int
 
-// The verdicts on an offered ticket.
+// Results of Offer.
 const (
-	// Accepted means that the ticket waits now.
+	// Accepted means that the reservation was queued.
 	Accepted Verdict = iota
-	// Full means that the bound is reached by tickets of this tier or higher ones.
+	// Full means that the limit is reached by reservations of the same or higher tiers.
 	Full
-	// BelowThreshold means that a higher tier was refused a moment ago.
+	// BelowThreshold means that a reservation of a higher tier was refused within
+	// ThresholdDuration.
 	BelowThreshold
-	// Duplicate means that the ticket waits already.
+	// Duplicate means that the reservation is already queued.
 	Duplicate
 )
 
-// RunningBelow gives how many requests of lower tiers than rank are running or about
-// to; Offer takes that many tickets of the rank beyond the bound.
+// RunningBelow returns how many requests of tiers lower than rank are running or claimed.
+// Offer accepts that many reservations of the rank beyond the limit.
 type RunningBelow func(rank int) int
 
-// Offer takes a ticket or refuses it. A ticket of a lower tier may be dropped
-// for it; the dropped one is given back.
+// Offer queues a reservation or refuses it. If a reservation of a lower tier is dropped to
+// make room, Offer returns it.
 func (q *Queue) Offer(now time.Time, w *Item, busy RunningBelow) (Verdict, *Item) {
 	if _, ok := q.byID[w.ID]; ok {
 		return Duplicate, nil
 	}
-	if q.floored(now, w.Tier) {
-		q.raiseFloor(now, w.Tier)
+	if q.belowThreshold(now, w.Tier) {
+		q.raiseThreshold(now, w.Tier)
 		return BelowThreshold, nil
 	}
 	if len(q.byID) < q.MaxWaiting {
@@ -80,28 +80,28 @@
 		q.insert(w)
 		return Accepted, victim
 	}
-	if q.overBound() < busy(w.Tier) {
+	if q.excess() < busy(w.Tier) {
 		q.insert(w)
 		return Accepted, nil
 	}
-	q.raiseFloor(now, w.Tier)
+	q.raiseThreshold(now, w.Tier)
 	return Full, nil
 }
 
-// overBound gives how many tickets wait beyond the bound.
-func (q *Queue) overBound() int { return len(q.byID) - q.MaxWaiting }
+// excess returns how many reservations wait beyond the limit.
+func (q *Queue) excess() int { return len(q.byID) - q.MaxWaiting }
 
-// raiseFloor bars the tiers below rank from now on for the floor time.
-func (q *Queue) raiseFloor(now time.Time, rank int) {
-	if q.floors == nil {
-		q.floors = make(map[int]time.Time)
+// raiseThreshold refuses the tiers lower than rank for ThresholdDuration from now.
+func (q *Queue) raiseThreshold(now time.Time, rank int) {
+	if q.thresholds == nil {
+		q.thresholds = make(map[int]time.Time)
 	}
-	q.floors[rank] = now.Add(q.ThresholdDuration)
+	q.thresholds[rank] = now.Add(q.ThresholdDuration)
 }
 
-// floored says whether a higher tier than rank was refused a moment ago.
-func (q *Queue) floored(now time.Time, rank int) bool {
-	for refused, until := range q.floors {
+// belowThreshold reports whether a tier higher than rank was refused within ThresholdDuration.
+func (q *Queue) belowThreshold(now time.Time, rank int) bool {
+	for refused, until := range q.thresholds {
 		if refused < rank && now.Before(until) {
 			return true
 		}
@@ -109,14 +109,14 @@
 	return false
 }
 
-// RecordRefusal records that a ticket of the rank was refused for another reason than
-// the bound, so that the floor holds for it too.
-func (q *Queue) RecordRefusal(now time.Time, rank int) { q.raiseFloor(now, rank) }
+// RecordRefusal records that a reservation of the rank was refused for another reason than the
+// limit, so that the threshold applies to lower tiers too.
+func (q *Queue) RecordRefusal(now time.Time, rank int) { q.raiseThreshold(now, rank) }
 
-// Len gives the number of waiting tickets.
+// Len returns the number of waiting reservations.
 func (q *Queue) Len() int { return len(q.byID) }
 
-// LenBelow gives the number of waiting tickets of lower tiers than rank.
+// LenBelow returns the number of waiting reservations of tiers lower than rank.
 func (q *Queue) LenBelow(rank int) int {
 	n := 0
 	for _, t := range q.tiers {
@@ -127,8 +127,8 @@
 	return n
 }
 
-// HighestRank gives the highest rank that waits and how many tickets it has; 0 tickets if
-// none waits.
+// HighestRank returns the highest rank with waiting reservations, and their number; 0
+// reservations if none waits.
 func (q *Queue) HighestRank() (rank, waiting int) {
 	for _, t := range q.tiers {
 		if t.size > 0 {
@@ -138,7 +138,7 @@
 	return 0, 0
 }
 
-// EachTier tells f the number of waiting tickets of each rank that has some.
+// EachTier calls f with the number of waiting reservations of each rank that has any.
 func (q *Queue) EachTier(f func(rank, waiting int)) {
 	for _, t := range q.tiers {
 		if t.size > 0 {
@@ -147,18 +147,18 @@
 	}
 }
 
-// LenByRank gives the number of waiting tickets for each rank.
+// LenByRank returns the number of waiting reservations by rank.
 func (q *Queue) LenByRank() map[int]int {
 	out := make(map[int]int, len(q.tiers))
 	q.EachTier(func(rank, waiting int) { out[rank] = waiting })
 	return out
 }
 
-// Allow says whether a slot may be used for a rank.
+// Allow reports whether a request of the rank may use a slot.
 type Allow func(rank int) bool
 
-// Pop takes the first ticket whose rank may start; nil if there is none.
-// Tickets past their deadline are let go on the way.
+// Pop removes and returns the first reservation whose rank is allowed; nil if there is none.
+// Reservations past their deadline are dropped.
 func (q *Queue) Pop(now time.Time, allow Allow) *Item {
 	for _, t := range q.tiers {
 		if !allow(t.rank) {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// Remove takes a ticket out by its id; nil if it does not wait here.
+// Remove removes a reservation by its ID; it returns nil if there is none.
 func (q *Queue) Remove(id runworks.RequestID) *Item {
 	w := q.byID[id]
 	if w == nil {
@@ -186,7 +186,7 @@
 	return w
 }
 
-// RemoveSource takes out all tickets of one entry.
+// RemoveSource removes all reservations of one entry.
 func (q *Queue) RemoveSource(source Source) {
 	for id, w := range q.byID {
 		if w.Source == source {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Drain takes out all tickets and gives them, so that they can be given back.
+// Drain removes and returns all reservations, oldest first.
 func (q *Queue) Drain() []*Item {
 	all := make([]*Item, 0, len(q.byID))
 	for _, w := range q.byID {
@@ -218,7 +218,7 @@
 	q.tier(w.Tier).add(w)
 }
 
-// tier finds the tier of a rank, or makes it in its place.
+// tier returns the tier of a rank and creates it if it does not exist.
 func (q *Queue) tier(rank int) *tier {
 	i := sort.Search(len(q.tiers), func(i int) bool { return q.tiers[i].rank >= rank })
 	if i < len(q.tiers) && q.tiers[i].rank == rank {
@@ -231,7 +231,8 @@
 	return t
 }
 
-// newestBelow finds the newest ticket of the lowest tier below rank.
+// newestBelow returns the newest reservation of the lowest non-empty tier below rank; nil if
+// there is none.
 func (q *Queue) newestBelow(rank int) *Item {
 	for i := len(q.tiers) - 1; i >= 0; i-- {
 		t := q.tiers[i]
