--- a/services/reservation/queue_test.go
+++ b/services/reservation/queue_test.go
@@ -13,23 +13,24 @@
 	"github.com/runworks/runworks"
 )
 
-// CI gives the same verdict every run; -rapid.seed on the command line goes first.
+// The seed is fixed so that CI runs are reproducible; -rapid.seed on the command line
+// overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func waiting(id string, tier int, customer string) *Item {
+func newItem(id string, tier int, customer string) *Item {
 	return &Item{
 		Reservation: runworks.Reservation{ID: runworks.RequestID(id), Tier: tier, Customer: customer, MaxTokens: 10},
 		Deadline:    start.Add(time.Hour),
 	}
 }
 
-func noneBusy(int) int { return 0 }
+func noneRunning(int) int { return 0 }
 
 func anyRank(int) bool { return true }
 
-// oracle is the queue's promise in its simplest form: a list.
+// oracle is a reference implementation of the queue that uses a list.
 type oracle struct {
 	list    []*Item
 	seq     map[runworks.RequestID]int
@@ -56,7 +57,8 @@
 	}
 }
 
-// TestQueueAgainstOracle drives the queue at random and compares it with a list.
+// TestQueueAgainstOracle compares the queue with the reference implementation in random
+// operations.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := &Queue{MaxWaiting: rapid.IntRange(1, 6).Draw(t, "bound"), ThresholdDuration: time.Second}
@@ -65,7 +67,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				o.next++
-				w := waiting(fmt.Sprint(o.next), rapid.IntRange(0, 3).Draw(t, "tier"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"))
+				w := newItem(fmt.Sprint(o.next), rapid.IntRange(0, 3).Draw(t, "tier"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"))
 				w.Deadline = now.Add(time.Duration(rapid.IntRange(1, 100).Draw(t, "left")) * time.Second)
 				busy := rapid.IntRange(0, 2).Draw(t, "busy")
 				offerBoth(t, q, o, now, w, busy)
@@ -80,7 +82,7 @@
 				}
 				w := rapid.SampledFrom(o.list).Draw(t, "removed")
 				if q.Remove(w.ID) == nil {
-					t.Fatalf("ticket %s is not there", w.ID)
+					t.Fatalf("reservation %s is not queued", w.ID)
 				}
 				o.remove(w.ID)
 			},
@@ -89,14 +91,14 @@
 			},
 			"": func(t *rapid.T) {
 				if q.Len() != len(o.list) {
-					t.Fatalf("%d tickets wait, want %d", q.Len(), len(o.list))
+					t.Fatalf("%d reservations wait, want %d", q.Len(), len(o.list))
 				}
 			},
 		})
 	})
 }
 
-// offerBoth offers a ticket to queue and oracle and compares what they do.
+// offerBoth offers a reservation to the queue and the oracle and compares the results.
 func offerBoth(t *rapid.T, q *Queue, o *oracle, now time.Time, w *Item, busy int) {
 	want := Accepted
 	var victim *Item
@@ -136,8 +138,8 @@
 	o.seq[w.ID] = o.next
 }
 
-// popBoth takes a ticket and checks that it is of the highest tier there, and
-// the most urgent of its customer.
+// popBoth pops a reservation and checks that it is of the highest allowed tier and has the
+// earliest deadline of its customer.
 func popBoth(t *rapid.T, q *Queue, o *oracle, now time.Time, lowest int) {
 	got := q.Pop(now, func(rank int) bool { return rank <= lowest })
 	var alive []*Item
@@ -149,7 +151,7 @@
 	if got == nil {
 		for _, w := range alive {
 			if w.Tier <= lowest {
-				t.Fatalf("ticket %s waits and none was given", w.ID)
+				t.Fatalf("reservation %s waits but Pop returned nil", w.ID)
 			}
 		}
 		o.list = alive
@@ -157,11 +159,11 @@
 	}
 	for _, w := range alive {
 		if w.Tier < got.Tier || w.Tier == got.Tier && w.Customer == got.Customer && w.Deadline.Before(got.Deadline) {
-			t.Fatalf("ticket %s was given before %s", got.ID, w.ID)
+			t.Fatalf("reservation %s was popped before %s", got.ID, w.ID)
 		}
 	}
-	// Lapsed tickets behind the given one may still be there.
-	q.dropLapsed(now)
+	// Expired reservations ordered after the popped one may still be queued.
+	q.dropExpired(now)
 	o.list = nil
 	for _, w := range alive {
 		if w != got && now.Before(w.Deadline) {
@@ -170,9 +172,9 @@
 	}
 }
 
-// dropLapsed takes out what is past its deadline, so that queue and oracle hold
-// the same tickets again.
-func (q *Queue) dropLapsed(now time.Time) {
+// dropExpired removes reservations past their deadline, so that the queue and the oracle hold
+// the same reservations again.
+func (q *Queue) dropExpired(now time.Time) {
 	for id, w := range q.byID {
 		if !now.Before(w.Deadline) {
 			q.Remove(id)
@@ -180,18 +182,18 @@
 	}
 }
 
-// TestFairShare gives a customer of twice the weight twice the work, and a small
-// customer its share however many tickets a large one has.
+// TestFairShare checks that a customer of twice the weight gets twice the work, and that a
+// small customer gets its share however many reservations a large one has.
 func TestFairShare(t *testing.T) {
 	is := is.New(t)
 	q := &Queue{MaxWaiting: 10_000}
 	for i := range 1000 {
-		w := waiting(fmt.Sprintf("large-%d", i), 1, "large")
+		w := newItem(fmt.Sprintf("large-%d", i), 1, "large")
 		w.Weight = 2
-		q.Offer(start, w, noneBusy)
+		q.Offer(start, w, noneRunning)
 	}
 	for i := range 100 {
-		q.Offer(start, waiting(fmt.Sprintf("small-%d", i), 1, "small"), noneBusy)
+		q.Offer(start, newItem(fmt.Sprintf("small-%d", i), 1, "small"), noneRunning)
 	}
 	served := map[string]int{}
 	for range 150 {
@@ -201,36 +203,37 @@
 	is.Equal(served["small"], 50)
 }
 
-// BenchmarkInsertAndPop measures one ticket in and one out with 10,000 waiting.
+// BenchmarkInsertAndPop measures one Offer and one Pop with 10,000 reservations waiting.
 func BenchmarkInsertAndPop(b *testing.B) {
 	q := &Queue{MaxWaiting: 20_000}
 	all := make([]*Item, 0, 10_000+b.N)
 	for i := range 10_000 + b.N {
-		w := waiting(fmt.Sprint(i), i%4, fmt.Sprintf("customer-%d", i%50))
+		w := newItem(fmt.Sprint(i), i%4, fmt.Sprintf("customer-%d", i%50))
 		w.Deadline = start.Add(time.Duration(1+i%1000) * time.Hour)
 		all = append(all, w)
 	}
 	for _, w := range all[:10_000] {
-		q.Offer(start, w, noneBusy)
+		q.Offer(start, w, noneRunning)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		q.Offer(start, all[10_000+i], noneBusy)
+		q.Offer(start, all[10_000+i], noneRunning)
 		q.Pop(start, anyRank)
 	}
 }
 
-// TestBehind puts a ticket behind one with a later deadline of the same customer.
-func TestBehind(t *testing.T) {
+// TestOrderDelay checks that a reservation with an order delay comes after one of the same
+// customer with a later deadline.
+func TestOrderDelay(t *testing.T) {
 	is := is.New(t)
 	q := Queue{MaxWaiting: 9}
-	long := waiting("long", 1, "a")
+	long := newItem("long", 1, "a")
 	long.OrderDelay = time.Minute
-	short := waiting("short", 1, "a")
+	short := newItem("short", 1, "a")
 	short.Deadline = short.Deadline.Add(time.Second)
 	for _, w := range []*Item{long, short} {
-		verdict, _ := q.Offer(start, w, noneBusy)
+		verdict, _ := q.Offer(start, w, noneRunning)
 		is.Equal(verdict, Accepted)
 	}
 	is.Equal(q.Pop(start, anyRank).ID, short.ID)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -48,8 +48,8 @@
 	// PromptTokens counts prefilled tokens, Thrown those whose answer was not
 	// finished, and Cached those that the prefix cache spared.
 	PromptTokens int `json:"prompt_tokens"`
-	Thrown       int `json:"thrown"`
-	Cached       int `json:"cached"`
+	WastedTokens int `json:"thrown"`
+	CachedTokens int `json:"cached"`
 }
 
 // Load is the engine's load report.
@@ -84,8 +84,8 @@
 	decodeStep = 5 * time.Millisecond
 )
 
-// Words gives the answer to a prompt: its words, repeated in order.
-func Words(prompt string, maxTokens int) []string {
+// CompletionWords gives the answer to a prompt: its words, repeated in order.
+func CompletionWords(prompt string, maxTokens int) []string {
 	words := strings.Fields(prompt)
 	if len(words) == 0 {
 		words = []string{"..."}
@@ -116,13 +116,13 @@
 			http.Error(w, "slow must be a number above zero", http.StatusBadRequest)
 			return
 		}
-		e.SetSlow(factor)
+		e.SetSlowdown(factor)
 	})
 	return mux
 }
 
-// SetSlow makes the engine factor times as slow.
-func (e *Engine) SetSlow(factor float64) {
+// SetSlowdown makes the engine factor times as slow.
+func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slow = factor
@@ -185,7 +185,7 @@
 	if !e.prefill(ctx, prompt, tokens) {
 		return ctx.Err()
 	}
-	answer := &engineAnswer{engine: e, out: j, chat: chat, call: call, words: Words(prompt, call.MaxTokens), prompt: tokens}
+	answer := &engineAnswer{engine: e, out: j, chat: chat, call: call, words: CompletionWords(prompt, call.MaxTokens), prompt: tokens}
 	if !answer.write(ctx) {
 		e.throwAway(tokens)
 		return ctx.Err()
@@ -205,7 +205,7 @@
 func (e *Engine) throwAway(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stats.Thrown += tokens
+	e.stats.WastedTokens += tokens
 }
 
 // prefill takes the time the prompt needs; false says that the call was cancelled.
@@ -213,7 +213,7 @@
 	e.mu.Lock()
 	cached := e.cachedLocked(prompt)
 	if cached {
-		e.stats.Cached += tokens
+		e.stats.CachedTokens += tokens
 	} else {
 		e.stats.PromptTokens += tokens
 	}
--- a/standin/log.go
+++ b/standin/log.go
@@ -19,17 +19,17 @@
 // ErrOutage is what the log service answers in an outage.
 var ErrOutage = errorx.ExternalError.New("the log service is out")
 
-// ErrLostAnswer is an append whose answer was lost after it took effect.
-var ErrLostAnswer = errorx.ExternalError.New("the answer was lost")
+// ErrLostResponse is an append whose answer was lost after it took effect.
+var ErrLostResponse = errorx.ExternalError.New("the answer was lost")
 
 const pageRecords = 100
 
-// Faults are the log service's settable faults.
-type Faults struct {
+// LogFaults are the log service's settable faults.
+type LogFaults struct {
 	// Outage makes every call fail.
 	Outage bool `json:"outage"`
-	// LoseAnswers makes that many appends take effect and answer with an error.
-	LoseAnswers int `json:"lose_answers"`
+	// LoseResponses makes that many appends take effect and answer with an error.
+	LoseResponses int `json:"lose_answers"`
 	// LatencyMS delays every call, in milliseconds.
 	LatencyMS int `json:"latency_ms"`
 }
@@ -43,7 +43,7 @@
 	Retain time.Duration
 
 	mu      sync.Mutex
-	faults  Faults
+	faults  LogFaults
 	first   int64
 	records []logRecord
 	limiter *rate.Limiter
@@ -56,7 +56,7 @@
 }
 
 // SetFaults sets the faults from now on.
-func (l *Log) SetFaults(f Faults) {
+func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
@@ -74,9 +74,9 @@
 	defer l.mu.Unlock()
 	offset := l.first + int64(len(l.records))
 	l.records = append(l.records, logRecord{at: time.Now(), data: append([]byte(nil), data...)})
-	if l.faults.LoseAnswers > 0 {
-		l.faults.LoseAnswers--
-		return 0, ErrLostAnswer
+	if l.faults.LoseResponses > 0 {
+		l.faults.LoseResponses--
+		return 0, ErrLostResponse
 	}
 	return offset, nil
 }
@@ -142,7 +142,7 @@
 	mux.HandleFunc("POST /records", l.serveAppend)
 	mux.HandleFunc("GET /records", l.serveRead)
 	mux.HandleFunc("POST /control", func(w http.ResponseWriter, r *http.Request) {
-		var f Faults
+		var f LogFaults
 		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -64,7 +64,7 @@
 
 // Dial opens a connection from a host to an address.
 func (n *Network) Dial(ctx context.Context, from, address string) (net.Conn, error) {
-	if err := n.Pass(ctx, from, hostOf(address)); err != nil {
+	if err := n.WaitReachable(ctx, from, hostOf(address)); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
@@ -85,8 +85,8 @@
 	return nil, errRefused
 }
 
-// Pass waits while two hosts are cut off from each other.
-func (n *Network) Pass(ctx context.Context, a, b string) error {
+// WaitReachable waits while two hosts are cut off from each other.
+func (n *Network) WaitReachable(ctx context.Context, a, b string) error {
 	for {
 		n.mu.Lock()
 		mended := n.cuts[pair(a, b)]
@@ -102,8 +102,8 @@
 	}
 }
 
-// Cut holds up all that travels between two hosts until mend.
-func (n *Network) Cut(a, b string) {
+// Partition holds up all that travels between two hosts until mend.
+func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cuts[pair(a, b)] == nil {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Mend ends a cut.
-func (n *Network) Mend(a, b string) {
+// Heal ends a cut.
+func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if mended := n.cuts[pair(a, b)]; mended != nil {
@@ -244,7 +244,7 @@
 	if d := time.Until(p.due); d > 0 {
 		time.Sleep(d)
 	}
-	if err := w.net.Pass(w.ctx, w.ends[0], w.ends[1]); err != nil {
+	if err := w.net.WaitReachable(w.ctx, w.ends[0], w.ends[1]); err != nil {
 		return false
 	}
 	if len(p.data) > 0 {
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,9 +10,9 @@
 	"github.com/runworks/runworks"
 )
 
-// Plain is a stand-in for a plain service: it says back what it was sent. Set
+// PlainService is a stand-in for a plain service: it says back what it was sent. Set
 // the exported fields before use.
-type Plain struct {
+type PlainService struct {
 	// Delay is how long a call takes.
 	Delay time.Duration
 
@@ -30,7 +30,7 @@
 
 // Handler answers every path with an Echo, and GET /stats with the calls by
 // request id.
-func (p *Plain) Handler() http.Handler {
+func (p *PlainService) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Calls()) })
 	mux.HandleFunc("/", p.echo)
@@ -38,7 +38,7 @@
 }
 
 // Calls gives the number of calls by request id.
-func (p *Plain) Calls() map[string]int {
+func (p *PlainService) Calls() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make(map[string]int, len(p.calls))
@@ -48,14 +48,14 @@
 	return out
 }
 
-// SetBroken makes every call break after it has arrived.
-func (p *Plain) SetBroken(broken bool) {
+// SetAbortCalls makes every call break after it has arrived.
+func (p *PlainService) SetAbortCalls(broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.broken = broken
 }
 
-func (p *Plain) echo(w http.ResponseWriter, r *http.Request) {
+func (p *PlainService) echo(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
--- a/standin/routed.go
+++ b/standin/routed.go
@@ -16,16 +16,16 @@
 
 // The headers between a front and a backend server of the users' platform.
 const (
-	RoutedID        = "X-Request-Id"
-	RoutedSignature = "X-Response-Signature"
-	routedInstance  = "X-Expect-Instance"
-	routedNotRun    = "X-Not-Executed"
-	routedCustomer  = "X-Tenant-Id"
-	routedTimeout   = "X-Timeout-Ms"
-	routedLimit     = "Server-Limit"
-	// RoutedLeaving is 1 in the answers of a server that will end.
-	RoutedLeaving = "Server-Leaving"
-	routedRest    = "Retry-After"
+	HeaderRoutedID        = "X-Request-Id"
+	HeaderRoutedSignature = "X-Response-Signature"
+	routedInstance        = "X-Expect-Instance"
+	routedNotRun          = "X-Not-Executed"
+	routedCustomer        = "X-Tenant-Id"
+	routedTimeout         = "X-Timeout-Ms"
+	routedLimit           = "Server-Limit"
+	// HeaderRoutedDraining is 1 in the answers of a server that will end.
+	HeaderRoutedDraining = "Server-Leaving"
+	routedRest           = "Retry-After"
 )
 
 // RoutedCall is a call that a Routed server ran.
@@ -39,16 +39,16 @@
 type RoutedArrival struct {
 	ID string    `json:"id"`
 	At time.Time `json:"at"`
-	// Rest is for how many seconds the call's front was asked to send nothing; 0 if the call
+	// Backoff is for how many seconds the call's front was asked to send nothing; 0 if the call
 	// was not turned away so.
-	Rest float64 `json:"rest,omitempty"`
+	Backoff float64 `json:"rest,omitempty"`
 	// Misdirected says that it was meant for another life, and was answered so.
 	Misdirected bool `json:"misdirected,omitempty"`
 }
 
-// Routed is a stand-in for a backend server of the users' platform. Set the
+// RoutedServer is a stand-in for a backend server of the users' platform. Set the
 // exported fields before use.
-type Routed struct {
+type RoutedServer struct {
 	// Instance is the id of its life.
 	Instance string
 	// Delay is how long a call runs before its answer, or between two events.
@@ -68,36 +68,36 @@
 }
 
 // Calls gives the calls that were run, in their order.
-func (b *Routed) Calls() []RoutedCall {
+func (b *RoutedServer) Calls() []RoutedCall {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]RoutedCall(nil), b.calls...)
 }
 
 // Arrivals gives the calls that came, also those that did not run, in their order.
-func (b *Routed) Arrivals() []RoutedArrival {
+func (b *RoutedServer) Arrivals() []RoutedArrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]RoutedArrival(nil), b.arrivals...)
 }
 
-// Most gives the most calls that ran at once.
-func (b *Routed) Most() int {
+// MaxActive gives the most calls that ran at once.
+func (b *RoutedServer) MaxActive() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.most
 }
 
 // Active gives how many calls run now.
-func (b *Routed) Active() int {
+func (b *RoutedServer) Active() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.active
 }
 
-// RoutedAnswer is the body that a call without events gets, a function of the
+// RoutedResponseBody is the body that a call without events gets, a function of the
 // request alone.
-func RoutedAnswer(id, method, target string, body []byte) []byte {
+func RoutedResponseBody(id, method, target string, body []byte) []byte {
 	sum := sha256.Sum256(body)
 	return fmt.Appendf(nil, "%s %s %s %s\n", id, method, target, hex.EncodeToString(sum[:]))
 }
@@ -109,7 +109,7 @@
 
 // Handler serves calls, the ones that ran at GET /calls, when calls came at GET /arrivals,
 // and faults at POST /control.
-func (b *Routed) Handler() http.Handler {
+func (b *RoutedServer) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /calls":
@@ -131,26 +131,26 @@
 
 // ServeHTTP implements http.Handler. A call whose query has events=N is answered
 // by a stream of N events.
-func (b *Routed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *RoutedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	w.Header().Set(RoutedID, r.Header.Get(RoutedID))
+	w.Header().Set(HeaderRoutedID, r.Header.Get(HeaderRoutedID))
 	arrived := b.arrive(w, r)
 	if arrived.Misdirected {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	b.mu.Lock()
-	if arrived.Rest > 0 || b.spend(&b.faults.TurnAway) {
+	if arrived.Backoff > 0 || b.spend(&b.faults.Reject) {
 		b.mu.Unlock()
 		w.Header().Set(routedNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	call := RoutedCall{
-		ID: r.Header.Get(RoutedID), Method: r.Method, Target: r.RequestURI, Customer: r.Header.Get(routedCustomer),
+		ID: r.Header.Get(HeaderRoutedID), Method: r.Method, Target: r.RequestURI, Customer: r.Header.Get(routedCustomer),
 		LastEvent: r.Header.Get("Last-Event-Id"), Header: r.Header.Clone(), Body: body,
 	}
 	b.calls = append(b.calls, call)
@@ -176,28 +176,28 @@
 }
 
 // arrive notes that a call came, and puts what the server says of itself in its answer.
-func (b *Routed) arrive(w http.ResponseWriter, r *http.Request) RoutedArrival {
+func (b *RoutedServer) arrive(w http.ResponseWriter, r *http.Request) RoutedArrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	one := RoutedArrival{ID: r.Header.Get(RoutedID), At: time.Now(), Rest: b.faults.Rest}
+	one := RoutedArrival{ID: r.Header.Get(HeaderRoutedID), At: time.Now(), Backoff: b.faults.Backoff}
 	if want := r.Header.Get(routedInstance); want != "" && want != b.Instance {
-		one.Rest, one.Misdirected = 0, true
+		one.Backoff, one.Misdirected = 0, true
 	}
 	b.arrivals = append(b.arrivals, one)
 	if b.faults.Limit != "" {
 		w.Header().Set(routedLimit, b.faults.Limit)
 	}
-	if b.faults.Leaving {
-		w.Header().Set(RoutedLeaving, "1")
+	if b.faults.Draining {
+		w.Header().Set(HeaderRoutedDraining, "1")
 	}
-	if one.Rest > 0 {
-		w.Header().Set(routedRest, strconv.FormatFloat(one.Rest, 'f', -1, 64))
+	if one.Backoff > 0 {
+		w.Header().Set(routedRest, strconv.FormatFloat(one.Backoff, 'f', -1, 64))
 	}
 	return one
 }
 
 // answer gives the answer to a call, with the faults that hit it.
-func (b *Routed) answer(w http.ResponseWriter, r *http.Request, body []byte) {
+func (b *RoutedServer) answer(w http.ResponseWriter, r *http.Request, body []byte) {
 	if n, err := strconv.Atoi(r.URL.Query().Get("events")); err == nil {
 		b.stream(w, r, n)
 		return
@@ -205,13 +205,13 @@
 	if !waitFor(r, b.Delay) {
 		return
 	}
-	id := r.Header.Get(RoutedID)
-	data := RoutedAnswer(id, r.Method, r.RequestURI, body)
+	id := r.Header.Get(HeaderRoutedID)
+	data := RoutedResponseBody(id, r.Method, r.RequestURI, body)
 	b.mu.Lock()
 	reset, unframed, surplus, fail := b.spend(&b.faults.Reset), false, false, false
 	if !reset {
 		unframed = b.spend(&b.faults.Unframed)
-		surplus = !unframed && b.spend(&b.faults.Surplus)
+		surplus = !unframed && b.spend(&b.faults.Unsolicited)
 		fail = !unframed && !surplus && b.spend(&b.faults.Fail)
 	}
 	b.mu.Unlock()
@@ -219,14 +219,14 @@
 	case reset:
 		resetConn(w, nil)
 	case unframed:
-		head := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\nConnection: close\r\n\r\n", RoutedID, id)
+		head := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\nConnection: close\r\n\r\n", HeaderRoutedID, id)
 		resetConn(w, append(head, data[:len(data)/2]...))
 	case surplus:
 		b.surplus(w, id, data)
 	case fail:
 		w.WriteHeader(http.StatusInternalServerError)
 	default:
-		w.Header().Set(RoutedSignature, signature(data))
+		w.Header().Set(HeaderRoutedSignature, signature(data))
 		_, _ = w.Write(data)
 	}
 }
@@ -237,10 +237,10 @@
 }
 
 // stream sends events from the one behind Last-Event-Id on.
-func (b *Routed) stream(w http.ResponseWriter, r *http.Request, events int) {
+func (b *RoutedServer) stream(w http.ResponseWriter, r *http.Request, events int) {
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
-	w.Header().Set(RoutedSignature, b.Instance)
+	w.Header().Set(HeaderRoutedSignature, b.Instance)
 	w.WriteHeader(http.StatusOK)
 	controller := http.NewResponseController(w)
 	for n := last + 1; n <= events; n++ {
--- a/standin/routed_faults.go
+++ b/standin/routed_faults.go
@@ -10,10 +10,10 @@
 // RoutedFaults are the settable faults of a Routed server; each but what the server says of
 // itself is used up by the calls that it hits.
 type RoutedFaults struct {
-	// TurnAway answers that many calls with the word that they were not run.
-	TurnAway int `json:"turn_away"`
-	// Surplus sends, before that many answers, one that belongs to no request.
-	Surplus int `json:"surplus"`
+	// Reject answers that many calls with the word that they were not run.
+	Reject int `json:"turn_away"`
+	// Unsolicited sends, before that many answers, one that belongs to no request.
+	Unsolicited int `json:"surplus"`
 	// Reset runs that many calls and resets their connections without an answer.
 	Reset int `json:"reset"`
 	// Unframed sends that many answers without a length and resets the connection
@@ -28,22 +28,22 @@
 	// Limit, unless empty, is what each answer names as its limit, in requests a second from
 	// all fronts together. Nothing is turned away for it.
 	Limit string `json:"limit"`
-	// Leaving has each answer say that the server will end.
-	Leaving bool `json:"leaving"`
-	// Rest, unless zero, turns each call away, and asks its front to send nothing for so many
+	// Draining has each answer say that the server will end.
+	Draining bool `json:"leaving"`
+	// Backoff, unless zero, turns each call away, and asks its front to send nothing for so many
 	// seconds.
-	Rest float64 `json:"rest"`
+	Backoff float64 `json:"rest"`
 }
 
 // SetFaults sets the faults from now on.
-func (b *Routed) SetFaults(f RoutedFaults) {
+func (b *RoutedServer) SetFaults(f RoutedFaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
 // spend uses a fault up.
-func (b *Routed) spend(n *int) bool {
+func (b *RoutedServer) spend(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
@@ -52,15 +52,15 @@
 }
 
 // surplus sends an answer to nobody's request, and then the right one.
-func (b *Routed) surplus(w http.ResponseWriter, id string, data []byte) {
+func (b *RoutedServer) surplus(w http.ResponseWriter, id string, data []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	var out bytes.Buffer
-	fmt.Fprintf(&out, "HTTP/1.1 200 OK\r\n%s: nobody\r\nContent-Length: 5\r\n\r\nwrong", RoutedID)
-	fmt.Fprintf(&out, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", RoutedID, id, RoutedSignature, signature(data), len(data))
+	fmt.Fprintf(&out, "HTTP/1.1 200 OK\r\n%s: nobody\r\nContent-Length: 5\r\n\r\nwrong", HeaderRoutedID)
+	fmt.Fprintf(&out, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\nConnection: close\r\n\r\n", HeaderRoutedID, id, HeaderRoutedSignature, signature(data), len(data))
 	out.Write(data)
 	_, _ = conn.Write(out.Bytes())
 }
@@ -79,7 +79,7 @@
 }
 
 // breaks says whether a stream breaks inside an event.
-func (b *Routed) breaks(n int) bool {
+func (b *RoutedServer) breaks(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults.BreakAt == n && b.spend(&b.faults.Breaks)
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,12 +13,12 @@
 type StoreFaults struct {
 	// Down answers every call with 503.
 	Down bool `json:"down"`
-	// Silent answers no call, nor those that wait; they get no answer later either.
-	Silent bool `json:"silent"`
-	// LoseAnswers makes that many appends take effect and cuts their connections.
-	LoseAnswers int `json:"lose_answers"`
-	// MissWakes makes that many appends wake no read that waits.
-	MissWakes int `json:"miss_wakes"`
+	// Unresponsive answers no call, nor those that wait; they get no answer later either.
+	Unresponsive bool `json:"silent"`
+	// LoseResponses makes that many appends take effect and cuts their connections.
+	LoseResponses int `json:"lose_answers"`
+	// SkipWakeups makes that many appends wake no read that waits.
+	SkipWakeups int `json:"miss_wakes"`
 }
 
 // Store is a stand-in for the platform's store: keyed topics of one partition.
@@ -52,7 +52,7 @@
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f.Silent && !s.faults.Silent {
+	if f.Unresponsive && !s.faults.Unresponsive {
 		s.silences++
 		s.changed.Signal()
 	}
@@ -73,8 +73,8 @@
 	s.appendLocked(name, append(append([]byte{byte(len(key))}, key...), value...))
 }
 
-// Forget drops the history of a topic; the newest records stay.
-func (s *Store) Forget(name string) {
+// Truncate drops the history of a topic; the newest records stay.
+func (s *Store) Truncate(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(name)
@@ -83,16 +83,16 @@
 	s.changed.Signal()
 }
 
-// Copy keeps a copy of all topics as they stand.
-func (s *Store) Copy() {
+// Snapshot keeps a copy of all topics as they stand.
+func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copied = cloneTopics(s.topics)
 }
 
-// Return goes back to the last copy: what was written since is gone, and its offsets are given
+// Restore goes back to the last copy: what was written since is gone, and its offsets are given
 // out again. Without a copy the store is empty.
-func (s *Store) Return() {
+func (s *Store) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = cloneTopics(s.copied)
@@ -134,8 +134,8 @@
 	} else {
 		t.newest[key] = newestRecord{value: value, offset: offset}
 	}
-	if s.faults.MissWakes > 0 {
-		s.faults.MissWakes--
+	if s.faults.SkipWakeups > 0 {
+		s.faults.SkipWakeups--
 	} else {
 		s.changed.Signal()
 	}
--- a/standin/store_serve.go
+++ b/standin/store_serve.go
@@ -23,8 +23,8 @@
 	mux.HandleFunc("GET /-/log-newest", s.serveNewest)
 	mux.HandleFunc("POST /control", s.serveControl)
 	mux.HandleFunc("POST /put", s.servePut)
-	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) { s.Copy() })
-	mux.HandleFunc("POST /return", func(http.ResponseWriter, *http.Request) { s.Return() })
+	mux.HandleFunc("POST /copy", func(http.ResponseWriter, *http.Request) { s.Snapshot() })
+	mux.HandleFunc("POST /return", func(http.ResponseWriter, *http.Request) { s.Restore() })
 	return mux
 }
 
@@ -40,7 +40,7 @@
 	s.stampLocked(w)
 	s.mu.Unlock()
 	switch {
-	case faults.Silent:
+	case faults.Unresponsive:
 		// A caller's leaving is noticed only once its body was read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
@@ -94,9 +94,9 @@
 			offset = next
 		}
 	}
-	lose := s.faults.LoseAnswers > 0
+	lose := s.faults.LoseResponses > 0
 	if lose {
-		s.faults.LoseAnswers--
+		s.faults.LoseResponses--
 	}
 	s.mu.Unlock()
 	if lose {
--- a/tests/call_test.go
+++ b/tests/call_test.go
@@ -163,7 +163,7 @@
 	if c.Service != "" {
 		return c.Prompt
 	}
-	return strings.Join(standin.Words(c.Prompt, c.MaxTokens), " ")
+	return strings.Join(standin.CompletionWords(c.Prompt, c.MaxTokens), " ")
 }
 
 // check makes the call and returns an error unless it gets the complete answer to its own prompt.
--- a/tests/callers_test.go
+++ b/tests/callers_test.go
@@ -44,7 +44,7 @@
 			Model: simModel, MaxCompletionTokens: openai.Int(12), MaxTokens: openai.Int(12),
 			Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("is the hake still frozen")},
 		}
-		want := strings.Join(standin.Words("is the hake still frozen", 12), " ")
+		want := strings.Join(standin.CompletionWords("is the hake still frozen", 12), " ")
 
 		whole, err := client.Chat.Completions.New(t.Context(), params)
 		is.NoErr(err)
@@ -169,7 +169,7 @@
 		is.Equal(w.entry("entry-1").Entry.Status().Tiers["urgent"], entry.TierStatus{})
 		thrown := 0
 		for _, e := range w.engines {
-			thrown += e.Stats().Thrown
+			thrown += e.Stats().WastedTokens
 		}
 		is.True(thrown > 0)
 	})
--- a/tests/measure_test.go
+++ b/tests/measure_test.go
@@ -127,7 +127,7 @@
 	}},
 	{"0.9, the platform out", 0.9, func(w *simCluster) {
 		for _, host := range []string{"entry-1", "entry-2", "host-e1", "host-e2"} {
-			w.net.Cut(host, "platform")
+			w.net.Partition(host, "platform")
 		}
 	}},
 }
--- a/tests/mutants_test.go
+++ b/tests/mutants_test.go
@@ -33,7 +33,7 @@
 		d.ScanArgs(t, "file", &file)
 		d.ScanArgs(t, "pkg", &pkg)
 		d.ScanArgs(t, "test", &test)
-		texts, err := mutant.Texts(repoRoot(t), file, d.Input)
+		texts, err := mutant.ChangedFiles(repoRoot(t), file, d.Input)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/tests/platform_record_test.go
+++ b/tests/platform_record_test.go
@@ -71,7 +71,7 @@
 				return p.logs(front, "record names no backend server to use", fmt.Sprintf("%q", one.key)) == 1
 			})
 		}
-		p.waitFor(front+" has dropped app-1", func() bool { return p.logs(front, "backend server leaves", `"app-1"`) == 1 })
+		p.waitFor(front+" has dropped app-1", func() bool { return p.logs(front, "backend server draining or removed", `"app-1"`) == 1 })
 	}
 	before := len(p.calls("app-1"))
 	for i := range 20 {
@@ -89,7 +89,7 @@
 	is.NoErr(res.Body.Close())
 	is.True(strings.Contains(string(text), fmt.Sprintf("\nrunworks_records_refused_total %d\n", len(foreign))))
 	p.listServer("app-2", "draining") // the only other one
-	p.waitFor("front-1 drops app-2", func() bool { return p.logs("front-1", "backend server leaves", `"app-2"`) == 1 })
+	p.waitFor("front-1 drops app-2", func() bool { return p.logs("front-1", "backend server draining or removed", `"app-2"`) == 1 })
 	c := platformCall{id: "nowhere", method: http.MethodGet, target: "/safe/1", key: "yard-key"}
 	answer, _, err := p.do("front-1", c)
 	is.NoErr(err)
@@ -139,7 +139,7 @@
 	is.True(time.Since(began) < 3*time.Second) // the calls have five
 	p.put("keyed.servers", "app-1", old)
 	for _, front := range []string{"front-1", "front-2"} {
-		p.waitFor("the late record is told of", func() bool { return p.logs(front, "record names no backend server to use", "late") == 1 })
+		p.waitFor("the late record is told of", func() bool { return p.logs(front, "record names no backend server to use", "outdated") == 1 })
 		res, _, err := p.do(front, platformCall{id: "new at " + front, method: http.MethodPost, target: "/once/2", key: "yard-key"})
 		is.NoErr(err)
 		is.Equal(res.StatusCode, http.StatusOK)
--- a/tests/platform_return_test.go
+++ b/tests/platform_return_test.go
@@ -43,7 +43,7 @@
 	case "copy":
 		return p.copyStore()
 	case "away":
-		p.setFaults(p.store, standin.StoreFaults{Down: d.HasArg("down"), Silent: d.HasArg("silent")})
+		p.setFaults(p.store, standin.StoreFaults{Down: d.HasArg("down"), Unresponsive: d.HasArg("silent")})
 		p.wait(a.lasts)
 		return "away\n"
 	case "return":
--- a/tests/platform_server_words_test.go
+++ b/tests/platform_server_words_test.go
@@ -68,7 +68,7 @@
 func (p *wordSite) leave(servers []string) string {
 	p.t.Helper()
 	for _, name := range servers {
-		p.setFaults(p.backends[name], standin.RoutedFaults{Leaving: true})
+		p.setFaults(p.backends[name], standin.RoutedFaults{Draining: true})
 	}
 	return "said\n"
 }
@@ -138,7 +138,7 @@
 func (p *wordSite) rest(servers []string, lasts time.Duration) string {
 	p.t.Helper()
 	for _, name := range servers {
-		p.setFaults(p.backends[name], standin.RoutedFaults{Rest: lasts.Seconds()})
+		p.setFaults(p.backends[name], standin.RoutedFaults{Backoff: lasts.Seconds()})
 	}
 	return "said\n"
 }
@@ -152,7 +152,7 @@
 		arrivals := p.arrivals(name)
 		asked, served, most := false, 0, 0
 		for i, one := range arrivals {
-			if one.Rest == 0 {
+			if one.Backoff == 0 {
 				served++
 				continue
 			}
@@ -170,7 +170,7 @@
 // inRest counts the calls that the front of one that was turned away sent in the time of rest.
 func inRest(later []standin.RoutedArrival, asked standin.RoutedArrival) int {
 	n := 0
-	end := time.Duration(asked.Rest * float64(time.Second))
+	end := time.Duration(asked.Backoff * float64(time.Second))
 	for _, one := range later {
 		if since := one.At.Sub(asked.At); frontOf(one.ID) == frontOf(asked.ID) && since > restBound && since < end {
 			n++
--- a/tests/platform_site_test.go
+++ b/tests/platform_site_test.go
@@ -197,7 +197,7 @@
 	for name, values := range c.header {
 		req.Header[name] = values
 	}
-	req.Header.Set(standin.RoutedID, c.id)
+	req.Header.Set(standin.HeaderRoutedID, c.id)
 	if c.key != "" {
 		req.Header.Set("X-Credential", c.key)
 	}
--- a/tests/platform_test.go
+++ b/tests/platform_test.go
@@ -34,9 +34,9 @@
 func TestPlatformCalls(t *testing.T) {
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1", "front-2")
-	p.setFaults(p.backends["app-1"], standin.RoutedFaults{TurnAway: 4, Surplus: 6})
-	p.setFaults(p.backends["app-2"], standin.RoutedFaults{Surplus: 3})
-	p.setFaults(p.backends["llm-1"], standin.RoutedFaults{TurnAway: 3})
+	p.setFaults(p.backends["app-1"], standin.RoutedFaults{Reject: 4, Unsolicited: 6})
+	p.setFaults(p.backends["app-2"], standin.RoutedFaults{Unsolicited: 3})
+	p.setFaults(p.backends["llm-1"], standin.RoutedFaults{Reject: 3})
 	const calls = 200
 	var wg sync.WaitGroup
 	for i := range calls {
@@ -79,17 +79,17 @@
 		t.Errorf("%s: %v", c.id, err)
 		return
 	}
-	want := standin.RoutedAnswer(c.id, c.method, c.target, c.body)
+	want := standin.RoutedResponseBody(c.id, c.method, c.target, c.body)
 	if kind.events > 0 {
 		want = nil
 		for n := 1; n <= kind.events; n++ {
 			want = append(want, standin.RoutedEvent(c.target, n)...)
 		}
 	}
-	if res.StatusCode != http.StatusOK || !bytes.Equal(data, want) || res.Header.Get(standin.RoutedID) != c.id {
-		t.Errorf("%s %s: %s, id %q, body %q, not %q", c.id, c.target, res.Status, res.Header.Get(standin.RoutedID), data, want)
+	if res.StatusCode != http.StatusOK || !bytes.Equal(data, want) || res.Header.Get(standin.HeaderRoutedID) != c.id {
+		t.Errorf("%s %s: %s, id %q, body %q, not %q", c.id, c.target, res.Status, res.Header.Get(standin.HeaderRoutedID), data, want)
 	}
-	if res.Header.Get(standin.RoutedSignature) == "" {
+	if res.Header.Get(standin.HeaderRoutedSignature) == "" {
 		t.Errorf("%s: no signature", c.id)
 	}
 }
@@ -108,7 +108,7 @@
 	res, data, err := p.do("front-1", platformCall{id: "again", method: http.MethodGet, target: "/safe/again", key: "yard-key"})
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK) // repeatable: the other server answers, or this one again
-	is.Equal(string(data), string(standin.RoutedAnswer("again", http.MethodGet, "/safe/again", nil)))
+	is.Equal(string(data), string(standin.RoutedResponseBody("again", http.MethodGet, "/safe/again", nil)))
 	for _, name := range []string{"llm-1", "llm-2"} {
 		p.setFaults(p.backends[name], standin.RoutedFaults{BreakAt: 4, Breaks: 1})
 	}
@@ -200,7 +200,7 @@
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK) // the document in force stays
 	p.listServer("app-1", "draining")
-	p.waitFor("the leaving is logged", func() bool { return strings.Contains(front.outputText(), "backend server leaves") })
+	p.waitFor("the leaving is logged", func() bool { return strings.Contains(front.outputText(), "backend server draining or removed") })
 	before := len(p.calls("app-1"))
 	for i := range 20 {
 		c.id = fmt.Sprintf("after-%d", i)
@@ -261,7 +261,7 @@
 	p.waitFor("the refusal is logged", func() bool { return strings.Contains(front.outputText(), "settings refused") })
 	p.writeSettings("front-1", good+"retry_ratio: 0.3\n")
 	front.signal(syscall.SIGHUP)
-	p.waitFor("the reading is logged", func() bool { return strings.Contains(front.outputText(), "settings read again") })
+	p.waitFor("the reading is logged", func() bool { return strings.Contains(front.outputText(), "settings reloaded") })
 	if p.ready("front-1") != http.StatusOK {
 		t.Error("the front is not ready any more")
 	}
@@ -279,7 +279,7 @@
 	req, err := http.NewRequest(http.MethodPost, "http://"+p.fronts["front-1"].address("callers")+"/chat/1?events=100000", nil)
 	is.NoErr(err)
 	req.Host = "yard.example"
-	req.Header.Set(standin.RoutedID, "leaves")
+	req.Header.Set(standin.HeaderRoutedID, "leaves")
 	req.Header.Set("X-Credential", "yard-key")
 	transport := &http.Transport{DisableKeepAlives: true}
 	res, err := transport.RoundTrip(req)
--- a/tests/platform_word_site_test.go
+++ b/tests/platform_word_site_test.go
@@ -141,9 +141,9 @@
 		p.t.Error(err)
 		return callResult{}
 	}
-	if res.Header.Get(standin.RoutedLeaving) != "" {
+	if res.Header.Get(standin.HeaderRoutedDraining) != "" {
 		p.mu.Lock()
-		key := frontServer{front, res.Header.Get(standin.RoutedSignature)}
+		key := frontServer{front, res.Header.Get(standin.HeaderRoutedSignature)}
 		if p.passed[key].IsZero() {
 			p.passed[key] = time.Now()
 		}
--- a/tests/retry_test.go
+++ b/tests/retry_test.go
@@ -31,7 +31,7 @@
 				w := newSimCluster(t, smallSpec)
 				defer w.close()
 				for _, p := range w.plains {
-					p.SetBroken(true)
+					p.SetAbortCalls(true)
 				}
 				var work sync.WaitGroup
 				for i := range calls {
@@ -129,7 +129,7 @@
 			}
 			thrown, dispatched := 0, 0
 			for _, e := range w.engines {
-				thrown += e.Stats().Thrown
+				thrown += e.Stats().WastedTokens
 			}
 			for _, n := range w.dispatches() {
 				dispatched += n
--- a/tests/schedule_test.go
+++ b/tests/schedule_test.go
@@ -79,7 +79,7 @@
 		s.startFaults()
 		s.calls.Wait()
 		s.faults.Wait()
-		s.w.log.SetFaults(standin.Faults{})
+		s.w.log.SetFaults(standin.LogFaults{})
 		time.Sleep(time.Minute)
 		watch.checkConverged()
 		watch.end()
@@ -167,29 +167,29 @@
 	}},
 	{"cut", func(s *schedule, pick *rand.Rand) {
 		a, b := s.entries[pick.IntN(2)], "host-"+s.servers[pick.IntN(len(s.servers))]
-		s.w.net.Cut(a, b)
+		s.w.net.Partition(a, b)
 		time.Sleep(time.Duration(pick.IntN(15000)) * time.Millisecond)
-		s.w.net.Mend(a, b)
+		s.w.net.Heal(a, b)
 	}},
 	{"reset", func(s *schedule, pick *rand.Rand) {
 		s.w.net.Reset(s.entries[pick.IntN(2)], "host-"+s.servers[pick.IntN(len(s.servers))])
 	}},
 	{"slow engine", func(s *schedule, pick *rand.Rand) {
 		e := s.w.engines[[]string{"e1", "e2", "e3"}[pick.IntN(3)]]
-		e.SetSlow(10)
+		e.SetSlowdown(10)
 		time.Sleep(10 * time.Second)
-		e.SetSlow(1)
+		e.SetSlowdown(1)
 	}},
 	{"log outage", func(s *schedule, pick *rand.Rand) {
-		s.w.log.SetFaults(standin.Faults{Outage: true})
+		s.w.log.SetFaults(standin.LogFaults{Outage: true})
 		time.Sleep(time.Duration(pick.IntN(20000)) * time.Millisecond)
-		s.w.log.SetFaults(standin.Faults{LoseAnswers: pick.IntN(3)})
+		s.w.log.SetFaults(standin.LogFaults{LoseResponses: pick.IntN(3)})
 	}},
 	{"cut from the platform", func(s *schedule, pick *rand.Rand) {
 		host := append([]string{"host-e1", "host-p1"}, s.entries...)[pick.IntN(4)]
-		s.w.net.Cut(host, "platform")
+		s.w.net.Partition(host, "platform")
 		time.Sleep(time.Duration(pick.IntN(30000)) * time.Millisecond)
-		s.w.net.Mend(host, "platform")
+		s.w.net.Heal(host, "platform")
 	}},
 	{"leave", func(s *schedule, pick *rand.Rand) {
 		server := s.servers[pick.IntN(len(s.servers))]
--- a/tests/sim_cluster_test.go
+++ b/tests/sim_cluster_test.go
@@ -48,7 +48,7 @@
 
 	mu      sync.Mutex
 	engines map[string]*standin.Engine
-	plains  map[string]*standin.Plain
+	plains  map[string]*standin.PlainService
 	agents  map[string]*instance[*daemon.Agent]
 	entries map[string]*instance[*daemon.Entry]
 	wg      sync.WaitGroup
@@ -107,7 +107,7 @@
 	t.Helper()
 	w := &simCluster{
 		t: t, spec: spec, net: memnet.New(spec.latency), log: &standin.Log{}, hosts: &standin.Hosts{}, tracer: spec.tracer,
-		engines: map[string]*standin.Engine{}, plains: map[string]*standin.Plain{},
+		engines: map[string]*standin.Engine{}, plains: map[string]*standin.PlainService{},
 		agents: map[string]*instance[*daemon.Agent]{}, entries: map[string]*instance[*daemon.Entry]{},
 	}
 	w.cfg = simConfig(spec)
@@ -124,7 +124,7 @@
 		w.startAgent(one.name)
 	}
 	for _, name := range spec.plains {
-		w.plains[name] = &standin.Plain{Delay: 20 * time.Millisecond}
+		w.plains[name] = &standin.PlainService{Delay: 20 * time.Millisecond}
 		w.serve("host-"+name, "80", w.plains[name].Handler())
 		w.startAgent(name)
 	}
@@ -395,7 +395,7 @@
 func (l *remoteLog) Append(ctx context.Context, data []byte) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
-	if err := l.net.Pass(ctx, l.host, "platform"); err != nil {
+	if err := l.net.WaitReachable(ctx, l.host, "platform"); err != nil {
 		return 0, fmt.Errorf("append: %w", err)
 	}
 	return l.log.Append(ctx, data)
@@ -405,7 +405,7 @@
 func (l *remoteLog) Read(ctx context.Context, from int64) (*runworks.LogPage, error) {
 	ctx, cancel := context.WithTimeout(ctx, logTimeout)
 	defer cancel()
-	if err := l.net.Pass(ctx, l.host, "platform"); err != nil {
+	if err := l.net.WaitReachable(ctx, l.host, "platform"); err != nil {
 		return nil, fmt.Errorf("read: %w", err)
 	}
 	return l.log.Read(ctx, from)
--- a/tests/soak_check_test.go
+++ b/tests/soak_check_test.go
@@ -142,14 +142,14 @@
 	defer func() { _ = res.Body.Close() }()
 	c.status = res.StatusCode
 	c.retryAfter = res.Header.Get("Retry-After") != ""
-	c.leaving = res.Header.Get(standin.RoutedLeaving) != ""
+	c.leaving = res.Header.Get(standin.HeaderRoutedDraining) != ""
 	c.data, c.err = io.ReadAll(res.Body)
 }
 
 // whole is the answer that the call has to get.
 func (c *soakCall) whole() []byte {
 	if c.events == 0 {
-		return standin.RoutedAnswer(c.id, c.method, c.target, c.body)
+		return standin.RoutedResponseBody(c.id, c.method, c.target, c.body)
 	}
 	var out []byte
 	for n := 1; n <= c.events; n++ {
--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -183,7 +183,7 @@
 func (s *soak) breakServer() soakFault {
 	server := s.anyServer()
 	n := 1 + s.rand.IntN(5)
-	all := []standin.RoutedFaults{{TurnAway: n}, {Surplus: n}, {Reset: n}, {Unframed: n}, {Fail: n}, {BreakAt: 2 + s.rand.IntN(6), Breaks: n}}
+	all := []standin.RoutedFaults{{Reject: n}, {Unsolicited: n}, {Reset: n}, {Unframed: n}, {Fail: n}, {BreakAt: 2 + s.rand.IntN(6), Breaks: n}}
 	faults := all[s.rand.IntN(len(all))]
 	return soakFault{name: fmt.Sprintf("a server of %s: %+v", server.service, faults), begin: func() {
 		life := server.life()
@@ -195,7 +195,7 @@
 
 // breakStore makes the store misbehave.
 func (s *soak) breakStore() soakFault {
-	all := []standin.StoreFaults{{Down: true}, {Silent: true}, {LoseAnswers: 2}, {MissWakes: 3}}
+	all := []standin.StoreFaults{{Down: true}, {Unresponsive: true}, {LoseResponses: 2}, {SkipWakeups: 3}}
 	faults := all[s.rand.IntN(len(all))]
 	return s.storeFault(soakFault{
 		name:  fmt.Sprintf("the store: %+v", faults),
--- a/tests/soak_return_test.go
+++ b/tests/soak_return_test.go
@@ -43,7 +43,7 @@
 		away := copied + time.Duration(s.rand.Int64N(int64(3*time.Second)))
 		back := away + time.Duration(s.rand.Int64N(int64(1200*time.Millisecond)))
 		written := back + time.Duration(s.rand.Int64N(int64(1800*time.Millisecond)))
-		faults := []standin.StoreFaults{{}, {Down: true}, {Silent: true}}[s.rand.IntN(3)]
+		faults := []standin.StoreFaults{{}, {Down: true}, {Unresponsive: true}}[s.rand.IntN(3)]
 		r := &storeReturn{}
 		fault := s.storeFault(soakFault{begin: func() {
 			r.away = time.Now()
@@ -130,7 +130,7 @@
 	for _, f := range s.fronts {
 		last := 0
 		for line := range strings.Lines(f.process.Load().outputText()) {
-			_, rest, ok := strings.Cut(line, `"routing in force"`)
+			_, rest, ok := strings.Cut(line, `"routing active"`)
 			if !ok {
 				continue
 			}
--- a/tests/soak_words_test.go
+++ b/tests/soak_words_test.go
@@ -29,7 +29,7 @@
 		name := fmt.Sprintf("a server of %s asks for %g s of rest", server.service, rest)
 		var life *soakLife
 		steps = append(steps,
-			soakStep{at: at, name: name, do: func() { life = s.speak(server, standin.RoutedFaults{Rest: rest}) }},
+			soakStep{at: at, name: name, do: func() { life = s.speak(server, standin.RoutedFaults{Backoff: rest}) }},
 			soakStep{at: at + lasts, name: name + " no more", do: func() { s.fallSilent(life) }})
 	}
 	return steps
@@ -58,7 +58,7 @@
 	if s.leaving(server.service) {
 		return
 	}
-	if life := s.speak(server, standin.RoutedFaults{Leaving: true}); life != nil {
+	if life := s.speak(server, standin.RoutedFaults{Draining: true}); life != nil {
 		life.leaves = true
 	}
 }
@@ -93,14 +93,14 @@
 func (s *soak) checkRests(life *soakLife, arrivals []standin.RoutedArrival, calls map[string]*soakCall) {
 	asked, most := 0, 0
 	for i, one := range arrivals {
-		if one.Rest == 0 || calls[one.ID] == nil {
+		if one.Backoff == 0 || calls[one.ID] == nil {
 			continue
 		}
 		asked++
 		n := 0
 		for _, later := range arrivals[i+1:] {
 			since, from := later.At.Sub(one.At), calls[later.ID]
-			if from != nil && from.life == calls[one.ID].life && since > restBound && since < time.Duration(one.Rest*float64(time.Second)) && s.counts(later.At) {
+			if from != nil && from.life == calls[one.ID].life && since > restBound && since < time.Duration(one.Backoff*float64(time.Second)) && s.counts(later.At) {
 				n++
 			}
 		}
--- a/tests/stop_test.go
+++ b/tests/stop_test.go
@@ -193,7 +193,7 @@
 		defer watch.end()
 		for _, cutOff := range []string{"", "entry-2", "host-e7"} {
 			if cutOff != "" {
-				w.net.Cut(cutOff, "platform")
+				w.net.Partition(cutOff, "platform")
 				time.Sleep(10 * time.Second)
 			}
 			cfg := *w.cfg
@@ -212,7 +212,7 @@
 			t.Logf("cut off from the log: %q; in force everywhere after %s", cutOff, took)
 			is.True(took < activeWithin)
 			if cutOff != "" {
-				w.net.Mend(cutOff, "platform")
+				w.net.Heal(cutOff, "platform")
 			}
 		}
 	})
--- a/tests/sweep_test.go
+++ b/tests/sweep_test.go
@@ -30,10 +30,10 @@
 
 // cutFor cuts two hosts off from each other for a time.
 func (w *simCluster) cutFor(a, b string, d time.Duration) {
-	w.net.Cut(a, b)
+	w.net.Partition(a, b)
 	w.wg.Go(func() {
 		time.Sleep(d)
-		w.net.Mend(a, b)
+		w.net.Heal(a, b)
 	})
 }
 
