--- a/tests/call_test.go
+++ b/tests/call_test.go
@@ -49,8 +49,8 @@
 	Attempt    string
 	RetryAfter time.Duration
 	Text       string
-	// Whole is set if the answer is complete: valid JSON, or a stream that ended with [DONE].
-	Whole bool
+	// Complete is set if the answer is complete: valid JSON, or a stream that ended with [DONE].
+	Complete bool
 	// Code is the error's code.
 	Code string
 	// Err is the error of the connection or of decoding the answer.
@@ -125,10 +125,10 @@
 		r.Code = f.Error.Code
 	}
 	if r.Status == http.StatusOK && f.Body != nil {
-		r.Text, r.Whole = *f.Body, true
+		r.Text, r.Complete = *f.Body, true
 	}
 	if r.Status == http.StatusOK && len(f.Choices) == 1 {
-		r.Text, r.Whole = f.Choices[0].Text, true
+		r.Text, r.Complete = f.Choices[0].Text, true
 	}
 }
 
@@ -155,7 +155,7 @@
 		r.Text += f.Choices[0].Text
 	}
 	r.Err = scanner.Err()
-	r.Whole = done && r.Err == nil
+	r.Complete = done && r.Err == nil
 }
 
 // wantText returns the answer that the stand-ins generate for the call's prompt.
@@ -172,7 +172,7 @@
 	if r.Err != nil {
 		return r.Err
 	}
-	if !r.Whole {
+	if !r.Complete {
 		return fmt.Errorf("status %d, outcome %q, code %q", r.Status, r.Outcome, r.Code)
 	}
 	if r.Text != c.wantText() {
--- a/tests/callers_test.go
+++ b/tests/callers_test.go
@@ -26,14 +26,15 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// openAIClient is the well-known client library, unchanged, pointed at an entry.
+// openAIClient returns a client of the unmodified OpenAI library that calls an entry.
 func openAIClient(w *simCluster) openai.Client {
 	return openai.NewClient(
 		option.WithBaseURL("http://entry-1:70/v1/"), option.WithAPIKey(simKey), option.WithHTTPClient(w.client()),
 	)
 }
 
-// TestClientLibrary calls with the well-known client library, whole and streamed.
+// TestClientLibrary checks that the OpenAI client library works unmodified: a chat completion, a
+// streamed one, and the list of models.
 func TestClientLibrary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -65,8 +66,8 @@
 	})
 }
 
-// TestWrongInput makes the calls of testdata/wrong_input; each gets a clear
-// error with its outcome, and nothing leaks.
+// TestWrongInput makes the invalid calls of testdata/wrong_input. Each must get the error and
+// outcome given there, and none may reach an engine.
 func TestWrongInput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimCluster(t, smallSpec)
@@ -76,13 +77,13 @@
 			return scriptedCall(t, client, d)
 		})
 		if n := len(w.dispatches()); n != 0 {
-			t.Errorf("%d wrong calls reached an engine", n)
+			t.Errorf("%d invalid calls reached an engine", n)
 		}
 	})
 }
 
-// scriptedCall makes one call of a data file: arguments method, path, key, kind
-// and size; the input is the body.
+// scriptedCall makes one call of a data file and returns its status, code, outcome and message. The
+// arguments are method, path, key, size and the names of headers; the input is the body.
 func scriptedCall(t *testing.T, client *http.Client, d *datadriven.TestData) string {
 	t.Helper()
 	arg := func(name, fallback string) string {
@@ -125,7 +126,7 @@
 	return fmt.Sprintf("%d %s %s\n%s\n", res.StatusCode, reply.Error.Code, res.Header.Get("Runworks-Outcome"), reply.Error.Message)
 }
 
-// TestTruncatedBody cuts a call in the middle of its body: it reaches no engine.
+// TestTruncatedBody sends a call with half of its body: it is refused and reaches no engine.
 func TestTruncatedBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -141,14 +142,14 @@
 			line, _ := bufio.NewReader(conn).ReadString('\n')
 			res <- line
 		}()
-		is.Equal(strings.TrimSpace(<-res), "HTTP/1.1 400 Bad Request") // after the bounded time for a body
+		is.Equal(strings.TrimSpace(<-res), "HTTP/1.1 400 Bad Request") // after the time limit for a body
 		_ = conn.Close()
 		is.Equal(len(w.dispatches()), 0)
 	})
 }
 
-// TestCallerDisconnects ends a call in the middle of its stream: the engine's work
-// is cancelled, and its slot is free.
+// TestCallerDisconnects cancels a call in the middle of its stream. The engine's work must be
+// cancelled and its slot released, as it would otherwise generate for a caller that has left.
 func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -159,23 +160,23 @@
 		c.Stream = true
 		done := make(chan *result)
 		go func() { done <- c.do(ctx, w.client()) }()
-		w.waitFor("its answer has begun", callers.ReadHeaderTimeout, func() bool {
+		w.waitFor("the answer has started", callers.ReadHeaderTimeout, func() bool {
 			return w.entry("entry-1").Entry.Status().Tiers["urgent"] == entry.TierStatus{Running: 1}
 		})
 		is.Equal(w.runningSlots(), 1)
 		cancel()
-		is.True(!(<-done).Whole)
-		w.waitFor("its slot is free", callers.ReadHeaderTimeout, func() bool { return w.runningSlots() == 0 })
+		is.True(!(<-done).Complete)
+		w.waitFor("the slot is free", callers.ReadHeaderTimeout, func() bool { return w.runningSlots() == 0 })
 		is.Equal(w.entry("entry-1").Entry.Status().Tiers["urgent"], entry.TierStatus{})
-		thrown := 0
+		wasted := 0
 		for _, e := range w.engines {
-			thrown += e.Stats().WastedTokens
+			wasted += e.Stats().WastedTokens
 		}
-		is.True(thrown > 0)
+		is.True(wasted > 0)
 	})
 }
 
-// TestTraceHasEveryHop finds the spans of all hops in the caller's own trace.
+// TestTraceHasEveryHop checks that the spans of all hops are in the trace that the caller started.
 func TestTraceHasEveryHop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -195,12 +196,12 @@
 			names[span.Name]++
 		}
 		for _, name := range []string{tracing.SpanEntry, tracing.SpanWait, tracing.SpanClaim, tracing.SpanAgent, tracing.SpanBackend} {
-			is.Equal(names[name], 1) // one span for the hop
+			is.Equal(names[name], 1) // one span per hop
 		}
 	})
 }
 
-// runningSlots counts the slots in use at all agents.
+// runningSlots returns the number of slots in use at all agents.
 func (w *simCluster) runningSlots() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/tests/capacity_test.go
+++ b/tests/capacity_test.go
@@ -13,9 +13,8 @@
 	"time"
 )
 
-// BenchmarkIdle measures what an entry and an agent cost while no call is made,
-// with several numbers of agents: processor time, memory and control traffic.
-// The slopes of docs/CAPACITY.md come from it.
+// BenchmarkIdle measures the processor time, memory and control traffic of an entry and an agent
+// without calls, with several numbers of agents. docs/CAPACITY.md takes its slopes from it.
 func BenchmarkIdle(b *testing.B) {
 	const idleTime = 30 * time.Second
 	for _, agents := range []int{4, 16, 48} {
@@ -34,8 +33,8 @@
 	}
 }
 
-// BenchmarkWaiting measures what requests that wait, and streams that run, cost
-// an entry, and the control traffic for each request.
+// BenchmarkWaiting measures the memory of entry and agents for each waiting or running request, and
+// the control traffic for it.
 func BenchmarkWaiting(b *testing.B) {
 	for _, waiting := range []int{300, 900} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
@@ -49,8 +48,8 @@
 				c := &completionCall{Entry: s.entries["entry-1"].address("callers"), Key: "site-key", Model: "site-model", Prompt: prompt(i), MaxTokens: 10_000}
 				calls.Go(func() { c.do(ctx, client) })
 			}
-			s.waitFor("all wait", func() bool { return s.inFlight("entry-1") == waiting })
-			time.Sleep(2 * time.Second) // offers go round
+			s.waitFor("all requests are at the entry", func() bool { return s.inFlight("entry-1") == waiting })
+			time.Sleep(2 * time.Second) // for the offers that agents then make
 			after := s.costs()
 			b.ReportMetric(float64(after.entryMemory-before.entryMemory)/float64(waiting), "entry-B/waiting")
 			b.ReportMetric(float64(after.agentMemory-before.agentMemory)/float64(waiting), "agents-B/waiting")
@@ -61,7 +60,8 @@
 	}
 }
 
-// capacitySite starts one entry and some agents, beside one slow stand-in each.
+// capacitySite starts one entry and the given number of agents, each with a stand-in; those of the
+// engines are slow.
 func capacitySite(b *testing.B, agents int) *site {
 	b.Helper()
 	servers := []serverSpec{{name: "app-1", plain: true, slots: 16}}
@@ -71,7 +71,7 @@
 	return newSite(b, servers, []string{"entry-1"})
 }
 
-// costs are what the entry and all agents have used.
+// costs holds the resources used by the entry, and by all agents together; memory is in bytes.
 type costs struct {
 	entryCPU, agentCPU       time.Duration
 	entryMemory, agentMemory int
@@ -92,7 +92,7 @@
 	return c
 }
 
-// residentMemory reads the resident memory of a process from /proc, in bytes.
+// residentMemory returns the resident memory of a process in bytes, from /proc.
 func residentMemory(t testing.TB, pid int) int {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -102,7 +102,7 @@
 	return pages * os.Getpagesize()
 }
 
-// sumMetric sums a counter over its labels.
+// sumMetric returns the sum of a counter over its labels.
 func sumMetric(t testing.TB, url, name string) float64 {
 	res, err := http.Get(url) //nolint:gosec // a process of this test
 	if err != nil {
--- a/tests/history_test.go
+++ b/tests/history_test.go
@@ -63,12 +63,12 @@
 	refused := answered && r.Status != http.StatusOK
 	shed := r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests
 	breaches := []breach{
-		{r.Whole && r.Text != want, "got a wrong answer"},
+		{r.Complete && r.Text != want, "got a wrong answer"},
 		{!strings.HasPrefix(want, strings.TrimRight(r.Text, " ")), "got a part of a wrong answer"},
-		{r.Whole && e.key() == "" && ran != 1, "was answered but not dispatched exactly once"},
+		{r.Complete && e.key() == "" && ran != 1, "was answered but not dispatched exactly once"},
 		{r.Outcome == runworks.OutcomeNotRun && ran > 0, "outcome is not-run but it was dispatched"},
 		{refused && (r.Outcome == "" || r.Code == ""), "was refused without an outcome or code"},
-		{answered && !refused && !r.Whole && r.Code == "", "ended incomplete without an error"},
+		{answered && !refused && !r.Complete && r.Code == "", "ended incomplete without an error"},
 		{shed && r.RetryAfter <= 0, "was refused without Retry-After"},
 	}
 	var out []string
@@ -84,21 +84,21 @@
 // none got the outcome not-run if one ran.
 func (h *history) keyViolations() []string {
 	sum := map[string]int{}
-	told := map[string]bool{}
+	notRun := map[string]bool{}
 	for i := range h.events {
 		e := &h.events[i]
 		if e.key() == "" {
 			continue
 		}
 		sum[e.key()] += h.dispatches[e.result.ID]
-		told[e.key()] = told[e.key()] || e.result.Outcome == runworks.OutcomeNotRun
+		notRun[e.key()] = notRun[e.key()] || e.result.Outcome == runworks.OutcomeNotRun
 	}
 	var out []string
 	for key, n := range sum {
 		if n > 1 {
 			out = append(out, fmt.Sprintf("key %s was dispatched %d times", key, n))
 		}
-		if n > 0 && told[key] {
+		if n > 0 && notRun[key] {
 			out = append(out, fmt.Sprintf("key %s: an outcome is not-run but it was dispatched", key))
 		}
 	}
@@ -120,7 +120,7 @@
 	for i := range h.events {
 		r := h.events[i].result
 		switch {
-		case r.Whole:
+		case r.Complete:
 			out["done"]++
 		case r.Outcome != "":
 			out[string(r.Outcome)]++
@@ -136,7 +136,7 @@
 func TestHistoryCheckerCatches(t *testing.T) {
 	call := &completionCall{Prompt: "a b c", MaxTokens: 3}
 	keyedCall := &completionCall{Prompt: "a b c", MaxTokens: 3, Header: map[string]string{runworks.HeaderIdempotencyKey: "k"}}
-	good := &result{ID: "1", Status: 200, Whole: true, Text: "a b c"}
+	good := &result{ID: "1", Status: 200, Complete: true, Text: "a b c"}
 	tests := []struct {
 		name       string
 		events     []event
@@ -145,15 +145,15 @@
 	}{
 		{"nothing wrong", []event{{call, good}}, map[runworks.RequestID]int{"1": 1}, 0},
 		{"dispatched twice", nil, map[runworks.RequestID]int{"1": 2}, 1},
-		{"another call's answer", []event{{call, &result{ID: "1", Status: 200, Whole: true, Text: "x y z"}}}, map[runworks.RequestID]int{"1": 1}, 2},
-		{"partial answer looks complete", []event{{call, &result{ID: "1", Status: 200, Whole: true, Text: "a b"}}}, map[runworks.RequestID]int{"1": 1}, 1},
+		{"another call's answer", []event{{call, &result{ID: "1", Status: 200, Complete: true, Text: "x y z"}}}, map[runworks.RequestID]int{"1": 1}, 2},
+		{"partial answer looks complete", []event{{call, &result{ID: "1", Status: 200, Complete: true, Text: "a b"}}}, map[runworks.RequestID]int{"1": 1}, 1},
 		{"not-run but ran", []event{{call, &result{ID: "1", Status: 503, Outcome: "not-run", Code: "x", RetryAfter: 1}}}, map[runworks.RequestID]int{"1": 1}, 1},
 		{"no outcome", []event{{call, &result{ID: "1", Status: 502}}}, nil, 1},
 		{"truncated without an error", []event{{call, &result{ID: "1", Status: 200, Text: "a"}}}, nil, 1},
 		{"no Retry-After", []event{{call, &result{ID: "1", Status: 503, Outcome: "not-run", Code: "x"}}}, nil, 1},
 		{
 			"a key ran twice",
-			[]event{{keyedCall, good}, {keyedCall, &result{ID: "2", Status: 200, Whole: true, Text: "a b c"}}},
+			[]event{{keyedCall, good}, {keyedCall, &result{ID: "2", Status: 200, Complete: true, Text: "a b c"}}},
 			map[runworks.RequestID]int{"1": 1, "2": 1}, 1,
 		},
 		{
--- a/tests/measure_test.go
+++ b/tests/measure_test.go
@@ -24,14 +24,14 @@
 )
 
 var (
-	measure      = flag.Bool("measure", false, "measure the policies, which takes minutes")
-	measureSeeds = flag.Int("measure-seeds", 3, "how many seeds the figures are the mean of")
-	measureOnly  = flag.String("measure-only", "", "measure only the scenarios whose name contains this")
+	measure      = flag.Bool("measure", false, "measure the routing policies, which takes minutes")
+	measureSeeds = flag.Int("measure-seeds", 3, "number of seeds over which the results are averaged")
+	measureOnly  = flag.String("measure-only", "", "measure only scenarios whose deployment and name contain this text")
 )
 
 const measureTime = 5 * time.Minute
 
-// deployment is one of the users' sites.
+// deployment is a system of the size of a real installation; latency is that of its network.
 type deployment struct {
 	name    string
 	engines int
@@ -43,14 +43,16 @@
 	{"newsroom", 12, 1500 * time.Microsecond},
 }
 
-// policy is a way of deciding, with the reserve of the top tier on each engine.
+// policy is a routing policy; reserve is the number of slots reserved for the top tier on each
+// engine.
 type policy struct {
 	name    string
 	picker  func(*rand.Rand) runworks.Picker
 	reserve int
 }
 
-// pushPicker is a baseline: one ticket, to the agent that it picks.
+// pushPicker is a baseline without late binding: it places one reservation, at the agent that pick
+// chooses.
 type pushPicker struct {
 	pick func(candidates []runworks.Candidate) int
 }
@@ -102,7 +104,7 @@
 	{"late binding, 1 reserved", lateBinding, 1},
 }
 
-// scenario is a load, a share of what the engines can do, with a fault.
+// scenario is a load, as a fraction of the capacity of the engines, and an optional fault.
 type scenario struct {
 	name  string
 	load  float64
@@ -132,18 +134,18 @@
 	}},
 }
 
-// fakeEngine takes the time that a request's tokens need at its rates.
+// fakeEngine is a backend that takes the time which a request's tokens need at its rates.
 type fakeEngine struct {
 	speed float64
 	mu    sync.Mutex
 	slow  float64
-	// wasted and prompts count prompt tokens.
+	// wasted and prompts are prompt tokens: of cancelled requests, and of all.
 	wasted, prompts int
 }
 
 const (
-	prefillRate = 8000.0 // prompt tokens a second at speed 1
-	decodeRate  = 80.0   // answer tokens a second and slot at speed 1
+	prefillRate = 8000.0 // prompt tokens per second at speed 1
+	decodeRate  = 80.0   // answer tokens per second and slot at speed 1
 )
 
 func (f *fakeEngine) setSlow(factor float64) {
@@ -152,7 +154,7 @@
 	f.slow = factor
 }
 
-// wait takes the time for tokens at a rate.
+// wait blocks for the time that tokens take at a rate in tokens per second.
 func (f *fakeEngine) wait(ctx context.Context, tokens, rate float64) error {
 	f.mu.Lock()
 	d := time.Duration(tokens / (rate * f.speed) * max(f.slow, 1) * float64(time.Second))
@@ -167,7 +169,7 @@
 	}
 }
 
-// Do implements runworks.Backend; the call's body gives the tokens.
+// Do implements runworks.Backend. The call's body holds the numbers of prompt and answer tokens.
 func (f *fakeEngine) Do(ctx context.Context, _ runworks.RequestID, call *runworks.Call) (*runworks.Reply, error) {
 	var prompt, answer int
 	if _, err := fmt.Sscan(string(call.Body), &prompt, &answer); err != nil {
@@ -189,7 +191,7 @@
 	return nil, runworks.ErrGone
 }
 
-// Cancel implements runworks.Backend: the work ends with its context.
+// Cancel implements runworks.Backend. The context of Do already cancels the request.
 func (*fakeEngine) Cancel(context.Context, runworks.RequestID) {}
 
 func (f *fakeEngine) addWasted(prompt int) {
@@ -198,7 +200,7 @@
 	f.wasted += prompt
 }
 
-// fakeBody ends once its tokens are decoded.
+// fakeBody is an answer that arrives once its tokens are decoded.
 type fakeBody struct {
 	engine         *fakeEngine
 	ctx            context.Context
@@ -222,20 +224,20 @@
 // Close implements io.Closer.
 func (*fakeBody) Close() error { return nil }
 
-// tierFigures are the figures of one tier.
+// tierFigures holds the results of one tier.
 type tierFigures struct {
 	offered, good, shed, late, broken int
 	firstByte                         []time.Duration
 }
 
-// figures are what one run gives.
+// figures holds the results of a run.
 type figures struct {
 	mu              sync.Mutex
 	tiers           [2]tierFigures
 	wasted, prompts int
 }
 
-// add takes another run's figures in.
+// add adds the results of another run.
 func (f *figures) add(o *figures) {
 	for i := range f.tiers {
 		a, b := &f.tiers[i], &o.tiers[i]
@@ -249,7 +251,7 @@
 
 func ratio(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
 
-// percentile gives a percentile of the times to the first byte, in seconds.
+// percentile returns the p-th percentile of the times to the first byte, in seconds.
 func (t *tierFigures) percentile(p int) float64 {
 	if len(t.firstByte) == 0 {
 		return 0
@@ -300,7 +302,7 @@
 	_ = w.Flush()
 }
 
-// measureOnce runs one load for some minutes of virtual time.
+// measureOnce runs one load for measureTime of virtual time.
 func measureOnce(t *testing.T, d deployment, s scenario, p policy, seed uint64) *figures {
 	t.Helper()
 	f := &figures{}
@@ -324,7 +326,7 @@
 		for i := 0; time.Since(began) < measureTime; i++ {
 			rate := perSecond * 0.8
 			if time.Since(began)%(30*time.Second) < 3*time.Second {
-				rate = perSecond * 2.8 // a tenth of the time, so that the mean is perSecond
+				rate = perSecond * 2.8 // for a tenth of the time, so that the mean is perSecond
 			}
 			time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 			req, offered := measureRequest(random)
@@ -362,13 +364,13 @@
 	shortPrompt, longPrompt = 160, 8000
 	shortAnswer, longAnswer = 38, 3920
 	shortLimit, longLimit   = 3 * time.Second, 5 * time.Minute
-	// meanSeconds is the mean work of a request at speed 1: nine short ones of
-	// half a second to a long one of fifty.
+	// meanSeconds is the mean duration of a request at speed 1: nine short ones of 0.5 s to a long
+	// one of 50 s.
 	meanSeconds = 0.9*(shortPrompt/prefillRate+shortAnswer/decodeRate) + 0.1*(longPrompt/prefillRate+longAnswer/decodeRate)
 )
 
-// measureRequest draws a request: one in ten a hundred times longer, of one of
-// five customers, two of them large. offered is the tokens it will really need.
+// measureRequest returns a random request of one of five customers, two of them large. One in ten
+// is about a hundred times longer. offered is the time at which the request was made.
 func measureRequest(random *rand.Rand) (req *runworks.Request, offered time.Time) {
 	now := time.Now()
 	req = &runworks.Request{
@@ -387,8 +389,8 @@
 	return req, now
 }
 
-// serve takes one request through an entry, or through the other one if its own
-// has died, as a balancer would.
+// serve sends one request through an entry, or through entry-1 if that entry has been killed, as a
+// load balancer would.
 func (f *figures) serve(w *simCluster, name string, req *runworks.Request, offered time.Time) {
 	w.mu.Lock()
 	e := w.entries[name]
@@ -412,7 +414,7 @@
 	defer f.mu.Unlock()
 	late := !time.Now().Before(req.Deadline)
 	var failure *runworks.Failure
-	switch failure, _ = err.(*runworks.Failure); { //nolint:errorlint // Serve gives a Failure
+	switch failure, _ = err.(*runworks.Failure); { //nolint:errorlint // Serve returns a Failure
 	case whole && !late:
 		t.good++
 	case late:
--- a/tests/overhead_test.go
+++ b/tests/overhead_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// clockTicks is the unit of processor times in /proc, a second's part.
+// clockTicks is the number of ticks per second in which /proc reports processor time.
 const clockTicks = 100
 
-// BenchmarkOverhead compares a call through an entry and an agent with the same
-// call to the same stand-in directly, as separate processes: the ratio, and the
-// processor time of entry and agent for each call.
+// BenchmarkOverhead compares a call through an entry and an agent with the same call made directly
+// to the stand-in, all as separate processes. It reports the ratio of the times, and the processor
+// time of entry and agent per call.
 func BenchmarkOverhead(b *testing.B) {
 	for _, parallel := range []int{1, 32} {
 		b.Run(fmt.Sprintf("parallel=%d", parallel), func(b *testing.B) { benchOverhead(b, parallel) })
@@ -46,7 +46,7 @@
 	client.CloseIdleConnections()
 }
 
-// timeCalls makes b.N calls, parallel at once, and gives the time for all.
+// timeCalls makes b.N calls, parallel at a time, and returns the time taken for all of them.
 func timeCalls(b *testing.B, client *http.Client, address string, parallel int) time.Duration {
 	began := time.Now()
 	errs := make(chan error, parallel)
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// BenchmarkStream measures what a streamed token costs entry and agent, each in
-// an event of its own, as an engine sends it.
+// BenchmarkStream measures the cost of a streamed token at entry and agent. Each token is an event
+// of its own, as engines send them.
 func BenchmarkStream(b *testing.B) {
 	const (
 		calls  = 256
@@ -129,7 +129,7 @@
 	b.ReportMetric(float64(after.entryMemory-before.entryMemory)/lanes, "entry-B/stream")
 }
 
-// cpuTime reads the user and system time of a process from /proc.
+// cpuTime returns the user and system time of a process, from /proc.
 func cpuTime(t testing.TB, pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/tests/process_failure_test.go
+++ b/tests/process_failure_test.go
@@ -85,7 +85,7 @@
 		defer l.h.mu.Unlock()
 		whole := 0
 		for i := range l.h.events {
-			if l.h.events[i].result.Whole {
+			if l.h.events[i].result.Complete {
 				whole++
 			}
 		}
--- a/tests/retry_test.go
+++ b/tests/retry_test.go
@@ -12,8 +12,9 @@
 	"github.com/runworks/runworks"
 )
 
-// TestRetriesMakeNoStorm calls a plain service whose servers all break: retries
-// of repeatable calls stay a small share, and others arrive exactly once.
+// TestRetriesMakeNoStorm calls a plain service whose servers all fail. The retry budget must keep
+// retries of repeatable calls to a tenth of the calls, so that they do not overload failing servers;
+// calls that are not repeatable must arrive exactly once.
 func TestRetriesMakeNoStorm(t *testing.T) {
 	const calls = 200
 	tests := []struct {
@@ -50,7 +51,7 @@
 				for _, n := range w.dispatches() {
 					arrived += n
 				}
-				t.Logf("%d calls drew %d arrivals", calls, arrived)
+				t.Logf("%d calls caused %d arrivals", calls, arrived)
 				is.True(arrived >= calls)
 				is.True(arrived <= test.most)
 			})
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestDeadServerIsPassedOver takes one of two plain servers away: every call is
-// answered by the other, also one that may not be repeated.
+// TestDeadServerIsPassedOver stops one of two plain servers. Each call must be answered by the other
+// one, even if it is not repeatable: a refused connection means that it did not run.
 func TestDeadServerIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -78,8 +79,9 @@
 	})
 }
 
-// TestUnattainableDeadlineFailsAtOnce asks for far more than fits into its time
-// limit, once the agents know their rates: the final answer comes at once.
+// TestUnattainableDeadlineFailsAtOnce requests far more tokens than can be generated within the
+// call's timeout, after the agents have learned their rates. The call must fail at once and not wait
+// for its timeout.
 func TestUnattainableDeadlineFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,13 +90,13 @@
 		for i := range 20 {
 			is.NoErr(w.call("entry-1", i, 100).check(t.Context(), w.client()))
 		}
-		for i := range 4 { // so that both engines have learned
+		for i := range 4 { // so that both agents learn their rates
 			c := w.call("entry-1", 100+i, 1000)
 			go func() { _ = c.check(t.Context(), w.client()) }()
 		}
 		time.Sleep(2 * time.Second)
 		began := time.Now()
-		c := w.call("entry-1", 200, 100_000) // fifty seconds of work
+		c := w.call("entry-1", 200, 100_000) // 50 s of work
 		c.Header = map[string]string{runworks.HeaderTimeout: "20s"}
 		r := c.do(t.Context(), w.client())
 		is.Equal(r.Outcome, runworks.OutcomeNotRun)
@@ -104,8 +106,8 @@
 	})
 }
 
-// TestEngineStreamResumes breaks the connection between an agent and its engine
-// in the middle of an answer: the agent picks it up, and no prompt is wasted.
+// TestEngineStreamResumes resets the connection between an agent and its engine in the middle of an
+// answer. The agent must resume a stream, so that its prompt is not computed again.
 func TestEngineStreamResumes(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -125,17 +127,17 @@
 			if stream {
 				is.NoErr(err)
 			} else {
-				is.True(err != nil) // nothing had come yet, so there is nothing to pick up
+				is.True(err != nil) // no part had arrived yet, so there is nothing to resume
 			}
-			thrown, dispatched := 0, 0
+			wasted, dispatched := 0, 0
 			for _, e := range w.engines {
-				thrown += e.Stats().WastedTokens
+				wasted += e.Stats().WastedTokens
 			}
 			for _, n := range w.dispatches() {
 				dispatched += n
 			}
 			is.Equal(dispatched, 1)
-			is.True(!stream || thrown == 0)
+			is.True(!stream || wasted == 0)
 		})
 	}
 }
--- a/tests/schedule_test.go
+++ b/tests/schedule_test.go
@@ -126,7 +126,7 @@
 	for range 4 {
 		r := c.do(context.Background(), client)
 		s.h.add(c, r)
-		if r.Whole || r.Outcome == runworks.OutcomeFailed {
+		if r.Complete || r.Outcome == runworks.OutcomeFailed {
 			return
 		}
 		time.Sleep(time.Second)
@@ -191,12 +191,12 @@
 		time.Sleep(time.Duration(pick.IntN(30000)) * time.Millisecond)
 		s.w.net.Heal(host, "platform")
 	}},
-	{"leave", func(s *schedule, pick *rand.Rand) {
+	{"stop agent", func(s *schedule, pick *rand.Rand) {
 		server := s.servers[pick.IntN(len(s.servers))]
 		s.w.stopAgent(server)
 		s.w.startAgent(server)
 	}},
-	{"race of operators", func(s *schedule, pick *rand.Rand) {
+	{"concurrent operators", func(s *schedule, pick *rand.Rand) {
 		for range 2 {
 			weight := 1 + pick.Float64()
 			s.faults.Go(func() { s.apply(weight) })
@@ -223,7 +223,7 @@
 		at := time.Duration(s.random.Int64N(int64(scheduleTime)))
 		pick := rand.New(rand.NewPCG(s.random.Uint64(), 2)) //nolint:gosec // a seed is wanted
 		s.injected = append(s.injected, fmt.Sprintf("%s at %s", f.name, at))
-		exclusive := f.name == "kill agent" || f.name == "kill entry" || f.name == "leave"
+		exclusive := f.name == "kill agent" || f.name == "kill entry" || f.name == "stop agent"
 		s.faults.Go(func() {
 			time.Sleep(at)
 			if exclusive {
--- a/tests/stop_test.go
+++ b/tests/stop_test.go
@@ -15,11 +15,11 @@
 	"github.com/runworks/runworks/services/config"
 )
 
-// drainWithin is how soon a leaving backend server must get no new work.
+// drainWithin is the time after which a draining backend server must get no new requests.
 const drainWithin = 3 * time.Second
 
-// steadyCalls makes a short call every 50 ms through the entries in turn, and
-// long streams of minutes, until it is ended.
+// steadyCalls makes a short call every 50 ms through the entries in turn until stopAndCheck is
+// called, beside two streams that take minutes.
 type steadyCalls struct {
 	w     *simCluster
 	h     history
@@ -29,7 +29,7 @@
 
 func newSteadyCalls(w *simCluster, entries ...string) *steadyCalls {
 	s := &steadyCalls{w: w, stop: make(chan struct{})}
-	for i := range 2 { // the fastest engine keeps slots for short calls
+	for i := range 2 { // only two, so that the fastest engine keeps slots for short calls
 		c := w.call(entries[i%len(entries)], 10_000+i, 10_000)
 		c.Stream = true
 		c.Header = map[string]string{runworks.HeaderTimeout: "10m"}
@@ -52,30 +52,30 @@
 	s.calls.Go(func() { s.h.add(c, c.do(context.Background(), s.w.client())) })
 }
 
-// stopAndCheck waits for all calls and checks that each got its whole answer.
+// stopAndCheck stops the load, waits for all calls, and checks that each got its complete answer.
 func (s *steadyCalls) stopAndCheck(t *testing.T) {
 	t.Helper()
 	close(s.stop)
 	s.calls.Wait()
 	s.h.check(t, s.w)
 	for _, e := range s.h.events {
-		if !e.result.Whole {
+		if !e.result.Complete {
 			r := e.result
-			t.Errorf("a call was cut after %d bytes: status %d, outcome %q, code %q, %v", len(r.Text), r.Status, r.Outcome, r.Code, r.Err)
+			t.Errorf("call cut off after %d bytes: status %d, outcome %q, code %q, %v", len(r.Text), r.Status, r.Outcome, r.Code, r.Err)
 		}
 	}
 	t.Logf("%d calls", len(s.h.events))
 }
 
-// longTimeoutSpec lets streams last minutes.
+// longTimeoutSpec returns a spec whose rule allows streams of up to 10 min.
 func longTimeoutSpec() simSpec {
 	spec := smallSpec
 	spec.edit = func(cfg *runworks.Config) { cfg.Rules[0].MaxTimeout = 10 * time.Minute }
 	return spec
 }
 
-// TestPlannedStopOfAgent stops an agent under load, with streams of minutes in
-// flight: no request is cut, and no new work comes to it.
+// TestPlannedStopOfAgent stops an agent under load while streams of minutes run: no request is cut
+// off, and the agent's server gets no new one.
 func TestPlannedStopOfAgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,7 +94,7 @@
 		before := len(w.engines["e3"].Stats().Dispatches)
 		took := <-stopped
 		if n := len(w.engines["e3"].Stats().Dispatches) - before; n != 0 {
-			t.Errorf("%d requests came to a leaving backend server after %s", n, drainWithin)
+			t.Errorf("%d requests reached a draining backend server after %s", n, drainWithin)
 		}
 		t.Logf("the agent waited %s for its streams", took)
 		w.startAgent("e3")
@@ -103,8 +103,8 @@
 	})
 }
 
-// TestPlannedStopOfEntry stops an entry under load: its requests in flight are
-// finished, and new ones get a clear answer or none at all.
+// TestPlannedStopOfEntry stops an entry under load. Its requests in flight are completed; it still
+// takes new ones until the balancer has noticed, and refuses connections after its exit.
 func TestPlannedStopOfEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -116,7 +116,7 @@
 		began := time.Now()
 		close(entry.stop)
 		time.Sleep(500 * time.Millisecond)
-		is.True(entry.daemon.Entry.Ready() == nil) // still takes calls, until the balancer has noticed
+		is.True(entry.daemon.Entry.Ready() == nil) // still takes calls until the balancer has noticed
 		inFlight.stopAndCheck(t)
 		<-entry.done
 		t.Logf("the entry waited %s for its requests", time.Since(began))
@@ -124,12 +124,12 @@
 		delete(w.entries, "entry-1")
 		w.mu.Unlock()
 		r := w.call("entry-1", 1, 5).do(t.Context(), w.client())
-		is.True(r.Err != nil) // refused at the door
+		is.True(r.Err != nil) // the connection is refused
 	})
 }
 
-// TestDrainingByHostList marks a host as leaving on a list that lags: its backend
-// server gets no new work after three seconds.
+// TestDrainingByHostList marks a host as draining in a host list that lags by 1.5 s: after
+// drainWithin its backend server gets no new requests.
 func TestDrainingByHostList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -145,14 +145,14 @@
 		before := len(w.engines["e3"].Stats().Dispatches)
 		time.Sleep(20 * time.Second)
 		if n := len(w.engines["e3"].Stats().Dispatches) - before; n != 0 {
-			t.Errorf("%d requests came to a leaving backend server after %s", n, drainWithin)
+			t.Errorf("%d requests reached a draining backend server after %s", n, drainWithin)
 		}
 		calls.stopAndCheck(t)
 	})
 }
 
-// TestHostListFlaps takes hosts off the list while streams run on them and puts
-// them back: nothing is cut, and they get work again.
+// TestHostListFlaps removes all hosts from the list for 1.5 s while streams run on them. No request
+// that runs may be cut off, and the hosts get new requests once they are back.
 func TestHostListFlaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -172,14 +172,14 @@
 		calls.h.check(t, w)
 		for _, e := range calls.h.events {
 			refused := e.result.Outcome == runworks.OutcomeNotRun
-			is.True(e.result.Whole || refused) // nothing that ran was cut
+			is.True(e.result.Complete || refused) // no request that ran was cut off
 		}
 		t.Log(calls.h.counts())
 	})
 }
 
-// TestConfigurationActive applies a change at today's size while one entry is
-// cut off from the log, and measures when it is in force everywhere.
+// TestConfigurationActive applies a configuration of realistic size while no host, an entry or an
+// agent's host is cut off from the log service. It must be active everywhere within activeWithin.
 func TestConfigurationActive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -200,7 +200,7 @@
 			result, err := config.Apply(t.Context(), w.log, config.BaseActive, &cfg)
 			is.NoErr(err)
 			began := time.Now()
-			w.waitFor("it is in force everywhere", time.Minute, func() bool {
+			w.waitFor("the configuration is active everywhere", time.Minute, func() bool {
 				for _, f := range watch.followers() {
 					if f.Version() != result.Version {
 						return false
@@ -209,7 +209,7 @@
 				return true
 			})
 			took := time.Since(began)
-			t.Logf("cut off from the log: %q; in force everywhere after %s", cutOff, took)
+			t.Logf("cut off from the log: %q; active everywhere after %s", cutOff, took)
 			is.True(took < activeWithin)
 			if cutOff != "" {
 				w.net.Heal(cutOff, "platform")
@@ -218,8 +218,8 @@
 	})
 }
 
-// TestLargeCustomerDoesNotStarveASmallOne fills all slots and queues with one
-// customer's work; another's few calls still go through soon.
+// TestLargeCustomerDoesNotStarveASmallOne fills all slots and queues with the requests of one
+// customer. The few calls of another customer must still be answered within 2 s.
 func TestLargeCustomerDoesNotStarveASmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -244,21 +244,21 @@
 			slowest = max(slowest, time.Since(began))
 		}
 		calls.Wait()
-		t.Logf("the small customer's slowest call took %s beside 300 waiting", slowest)
+		t.Logf("slowest call of the small customer took %s with 300 calls of the large one", slowest)
 		is.True(slowest < 2*time.Second)
 	})
 }
 
-// TestKeysOutliveTheirOwner stops the home of a key as planned after the key's
-// request ran elsewhere: a caller who comes back gets the kept answer, and one
-// who was told not-run is told so again; also once the home is back.
+// TestKeysOutliveTheirOwner stops the owner of an idempotency key as planned after the key's request
+// ran on another server. A repeated call must get the kept answer while the owner is away and after
+// it has restarted, and the request must not run again.
 func TestKeysOutliveTheirOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newSimCluster(t, sweepSpec)
 		defer w.close()
 		time.Sleep(3 * time.Second)
-		key := w.keyOwnedBy("e2") // the idle system runs it at e1
+		key := w.keyOwnedBy("e2") // the idle cluster runs its request on e1
 		c := w.call("entry-1", 1, 24)
 		c.Header = map[string]string{runworks.HeaderIdempotencyKey: key}
 		is.NoErr(c.check(t.Context(), w.client()))
@@ -268,11 +268,11 @@
 		for _, entry := range []string{"entry-1", "entry-2"} {
 			again := *c
 			again.Entry = entry + ":70"
-			is.NoErr(again.check(t.Context(), w.client())) // the home is away
+			is.NoErr(again.check(t.Context(), w.client())) // the owner is away
 		}
 		w.startAgent("e2")
 		time.Sleep(10 * time.Second)
-		is.NoErr(c.check(t.Context(), w.client())) // the home began anew
+		is.NoErr(c.check(t.Context(), w.client())) // the owner has restarted
 		other := *c
 		other.Prompt = "another question"
 		is.Equal(other.do(t.Context(), w.client()).Code, "key_reused")
@@ -284,9 +284,8 @@
 	})
 }
 
-// TestKeyOwnerChanges takes a backend server out of the configuration, so that the
-// keys it was home to get another: one that ran is told unknown and does not run
-// again, and a fresh key runs.
+// TestKeyOwnerChanges removes a backend server from the configuration, so that its keys get another
+// owner. A key whose request ran gets the outcome unknown and does not run again; a new key runs.
 func TestKeyOwnerChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/tests/sweep_test.go
+++ b/tests/sweep_test.go
@@ -9,7 +9,7 @@
 	"github.com/runworks/runworks"
 )
 
-// failure brings about one failure at a moment, and mends what it can.
+// failure injects one failure; a cut ends after its time.
 type failure struct {
 	name   string
 	inject func(w *simCluster, server string)
@@ -28,7 +28,7 @@
 	{"kill entry", func(w *simCluster, _ string) { w.killEntry("entry-1") }},
 }
 
-// cutFor cuts two hosts off from each other for a time.
+// cutFor cuts the network between two hosts for the duration d.
 func (w *simCluster) cutFor(a, b string, d time.Duration) {
 	w.net.Partition(a, b)
 	w.wg.Go(func() {
@@ -37,16 +37,16 @@
 	})
 }
 
-// sweepSpec has two engines, so that a request may go elsewhere.
+// sweepSpec has two engines, so that a request can go to another one after a failure.
 var sweepSpec = simSpec{
 	engines: []engineSpec{{"e1", 2, 10_000, 2000}, {"e2", 2, 10_000, 2000}},
 	entries: []string{"entry-1", "entry-2"},
 	latency: 500 * time.Microsecond,
 }
 
-// TestSweep makes two calls and brings about each failure at every moment of
-// their life, from before the first message until after the last, a quarter of
-// the latency apart: so every message is cut before, during and after it.
+// TestSweep makes two calls and injects each failure at moments from before the first message until
+// after the last one. They are half of the network latency apart, so that each message meets a
+// failure before, during and after its delivery.
 func TestSweep(t *testing.T) {
 	const (
 		step  = 250 * time.Microsecond
@@ -55,7 +55,7 @@
 	sweep(t, step, steps, sweepOnce)
 }
 
-// sweep brings about each failure at each of some moments, a step apart.
+// sweep runs once for each failure at each of a number of moments, a step apart.
 func sweep(t *testing.T, step time.Duration, steps int, once func(*testing.T, failure, time.Duration) *history) {
 	t.Helper()
 	for _, f := range failures {
@@ -92,7 +92,7 @@
 		f.inject(w, "e1")
 		<-done
 		<-done
-		// What was told stays true: late messages may still arrive.
+		// Messages that arrive late must not make a reported outcome wrong.
 		time.Sleep(time.Minute)
 		h.check(t, w)
 		if t.Failed() {
@@ -102,9 +102,9 @@
 	return h
 }
 
-// TestSweepKeyed makes two calls under one key through both entries, brings
-// about each failure at every moment of their life at the key's home, and makes
-// a third call a little later: the key runs once at the most.
+// TestSweepKeyed makes two calls with one idempotency key through both entries, injects each failure
+// at the key's owner at each moment while they run, and makes a third call 4 s later. At most one
+// request of the key may run.
 func TestSweepKeyed(t *testing.T) {
 	const (
 		step  = 500 * time.Microsecond
@@ -149,7 +149,7 @@
 	return h
 }
 
-// keyOwnedBy mints a key whose home is the agent beside a backend server.
+// keyOwnedBy returns a new idempotency key whose owner is the agent of a backend server.
 func (w *simCluster) keyOwnedBy(server string) string {
 	now := w.entry("entry-1").Config.Active()
 	for i := 0; ; i++ {
--- a/tests/tier_test.go
+++ b/tests/tier_test.go
@@ -14,11 +14,11 @@
 	"github.com/runworks/runworks"
 )
 
-// smallQueuesSpec has little room, so that work is shed under load.
+// smallQueuesSpec has short queues, so that requests are shed under load.
 var smallQueuesSpec = simSpec{
 	engines:    []engineSpec{{"e1", 2, 4000, 40}, {"e2", 2, 8000, 80}, {"e3", 3, 16000, 160}},
 	entries:    []string{"entry-1", "entry-2"},
-	latency:    20 * time.Millisecond, // much is on its way while agents decide
+	latency:    20 * time.Millisecond, // so that many messages are in flight while agents decide
 	maxWaiting: 6,
 	edit: func(cfg *runworks.Config) {
 		cfg.Rules = []runworks.Rule{
@@ -29,16 +29,16 @@
 	},
 }
 
-// audit finds lower work that is kept waiting while a request is shed.
+// audit finds requests that wait while one of a higher tier is shed. A higher rank is a lower tier.
 type audit struct {
 	w  *simCluster
 	mu sync.Mutex
-	// shed counts shed requests by rank; broken lists what was found.
+	// shed counts shed requests by rank; violations describes what was found.
 	shed       map[int]int
 	violations []string
 }
 
-// onShed looks at every agent at the moment a request is shed.
+// onShed checks the queue of each agent at the moment at which a request is shed.
 func (a *audit) onShed(req *runworks.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestTierOrderInShedding overloads a system through both entries with bursts of
-// all tiers: when a request is shed, no agent keeps a lower one waiting.
+// TestTierOrderInShedding overloads a cluster with bursts of all tiers through both entries. When a
+// request is shed, no agent may have one of a lower tier waiting.
 func TestTierOrderInShedding(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -85,7 +85,7 @@
 	t.Logf("shed by rank %v, %v", a.shed, h.counts())
 }
 
-// overload makes bursts of calls of all tiers for half a minute.
+// overload makes bursts of calls of all tiers for 30 s.
 func overload(t *testing.T, w *simCluster, h *history, seed uint64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3)) //nolint:gosec // a seed is wanted
@@ -104,7 +104,8 @@
 	calls.Wait()
 }
 
-// TestAuditCatches shows that the audit finds lower work that waits.
+// TestAuditCatches checks that the audit finds a waiting request of a lower tier, so that
+// TestTierOrderInShedding cannot pass because it misses one.
 func TestAuditCatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
