--- a/bench/lost/doc.go
+++ b/bench/lost/doc.go
@@ -1,3 +1,3 @@
-// Command lost tells, from what the users' bench prints of a day with all fronts' logs, at
-// which step calls missed their targets: over the day, and in the worst seconds.
+// Command lost reads the output of the benchmark for a day, with the logs of all fronts, and
+// prints at which step calls missed their targets: over the day, and in the worst seconds.
 package main
--- a/bench/lost/lost_test.go
+++ b/bench/lost/lost_test.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestReasons tells the reasons of the lines in testdata/days.
+// TestReasons checks the counts of each reason for the output in testdata/days.
 func TestReasons(t *testing.T) {
 	datadriven.RunTest(t, "testdata/days", func(_ *testing.T, d *datadriven.TestData) string {
 		var out strings.Builder
--- a/bench/lost/main.go
+++ b/bench/lost/main.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	// worstSpans is how many of the worst spans of two seconds are told in detail.
+	// worstSpans is the number of two-second spans, lowest worth first, printed in detail.
 	worstSpans = 3
-	// waitedPart is from which part of its target on a late call counts as late by waiting.
-	waitedPart = 0.5
-	// maxLine bounds a line of the log.
+	// waitedFraction is the fraction of its target that a late call must have waited in the queue
+	// to count as late because of it.
+	waitedFraction = 0.5
+	// maxLine bounds a line of the input in bytes.
 	maxLine = 1 << 20
 )
 
-// errNoTable says that the input holds no table of the day's spans.
+// errNoTable reports input without the table of the day's spans.
 var errNoTable = errors.New("no table that begins with 'from second': the bench's whole output is needed, with --log all")
 
 func main() {
@@ -32,8 +33,8 @@
 	}
 }
 
-// ended is what is read of a log line `call ended`.
-type ended struct {
+// callEnded holds the fields that are read from a log line "call ended".
+type callEnded struct {
 	Message      string   `json:"@message"`
 	Route        string   `json:"route"`
 	Rank         int      `json:"route_rank"`
@@ -48,8 +49,8 @@
 	Servers      []string `json:"servers"`
 }
 
-// reason says at which step a call missed its target, or that it did not.
-func (e *ended) reason() string {
+// reason returns the step at which a call missed its target, or "on time".
+func (e *callEnded) reason() string {
 	switch {
 	case strings.Contains(e.Cause, "customer_limit"):
 		return "limit"
@@ -65,7 +66,7 @@
 		return "left while it waited"
 	case e.Outcome != "done":
 		return "cut"
-	case e.FirstByteMs > e.TargetMs && e.WaitedMs > waitedPart*e.TargetMs:
+	case e.FirstByteMs > e.TargetMs && e.WaitedMs > waitedFraction*e.TargetMs:
 		return "late: waited"
 	case e.FirstByteMs > e.TargetMs:
 		return "late: first event"
@@ -75,7 +76,7 @@
 	return "on time"
 }
 
-// span is two seconds of the day.
+// span is a two-second interval of the day.
 type span struct {
 	from  int
 	worth float64
@@ -83,16 +84,16 @@
 	calls counts
 }
 
-// counts are calls by rank and reason.
+// counts holds the number of calls by kind, rank and reason.
 type counts map[string]int
 
-// day is what the input tells.
+// day is the parsed input. The spans are keyed by their first second.
 type day struct {
 	all   counts
 	spans map[int]*span
 }
 
-// run reads a day and tells what it lost.
+// run reads a day from in and writes the counts of missed targets to out.
 func run(in io.Reader, out io.Writer) error {
 	d := &day{all: counts{}, spans: map[int]*span{}}
 	if err := d.read(in); err != nil {
@@ -127,9 +128,9 @@
 		case table && strings.TrimSpace(line) == "":
 			table = false
 		case table:
-			d.row(line)
+			d.parseRow(line)
 		default:
-			d.note(line)
+			d.countCall(line)
 		}
 	}
 	return lines.Err()
@@ -144,8 +145,8 @@
 	return s
 }
 
-// row reads a span's line of the table: its second, and its worth behind six counts.
-func (d *day) row(line string) {
+// parseRow reads a span's row of the table: its first second, and its worth after six counts.
+func (d *day) parseRow(line string) {
 	const worthField = 7
 	fields := strings.Fields(line)
 	if len(fields) <= worthField {
@@ -157,21 +158,22 @@
 	}
 	worth, err := strconv.ParseFloat(fields[worthField], 64)
 	if err != nil {
-		return // "-": nothing was owed
+		return // "-": no call counted in this span
 	}
 	s := d.span(from)
 	s.row, s.worth = line, worth
 }
 
-// note counts the call of a line of the log: its time, the front, and the JSON.
-func (d *day) note(line string) {
+// countCall counts the call of a log line, which consists of its time, the front and the JSON.
+// The call counts for the span in which it arrived.
+func (d *day) countCall(line string) {
 	i := strings.IndexByte(line, '{')
 	if i < 0 || !strings.Contains(line, `"call ended"`) {
 		return
 	}
-	var e ended
+	var e callEnded
 	if json.Unmarshal([]byte(line[i:]), &e) != nil || e.Route == "" || e.TargetMs == 0 {
-		return // a line cut short, or a call on a route that only probes
+		return // a truncated line, or a call on a probe route
 	}
 	fields := strings.Fields(line[:i])
 	if len(fields) == 0 {
@@ -186,12 +188,12 @@
 		kind = "stream"
 	}
 	key := fmt.Sprintf("%s rank %d\t%s", kind, e.Rank, e.reason())
-	came := int(at-e.TookMs/1000) / 2 * 2
+	arrival := int(at-e.TookMs/1000) / 2 * 2
 	d.all[key]++
-	d.span(came).calls[key]++
+	d.span(arrival).calls[key]++
 }
 
-// print tells the counts, the most frequent reasons of each rank first.
+// print writes the counts, the most frequent reasons of each kind and rank first.
 func (c counts) print(out io.Writer, title string) {
 	fmt.Fprintln(out, title)
 	var keys []string
--- a/bench/mutant/doc.go
+++ b/bench/mutant/doc.go
@@ -1,4 +1,4 @@
-// Package mutant reads the list of mechanisms that can be taken out of the product, and
-// makes the changed sources. A test proves that each is missed; a measurement tells what it
-// is worth.
+// Package mutant reads the list of mutants, each a source change that removes one mechanism
+// of the product, and applies them. Tests verify that each mutant is detected; benchmarks
+// measure the effect of its mechanism.
 package mutant
--- a/bench/mutant/mutant.go
+++ b/bench/mutant/mutant.go
@@ -10,45 +10,47 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// ListPath is where the mechanisms stand, below the tree's root.
+// ListPath is the path of the list of mutants, relative to the root of the source tree.
 const ListPath = "tests/testdata/mutants"
 
-// The errors of a list.
+// Errors of the list.
 var (
-	// ErrUnknown says that a name is not on the list.
-	ErrUnknown = errors.New("no such mechanism on the list")
-	// ErrStale says that a text to change does not stand once in its file.
-	ErrStale = errors.New("the text to change must stand in the file once")
+	// ErrUnknown is returned for a name that is not on the list.
+	ErrUnknown = errors.New("unknown mutant")
+	// ErrStale is returned if a text to replace does not occur exactly once in its file.
+	ErrStale = errors.New("text to replace must occur exactly once")
 )
 
-// Mutant is one mechanism with the change that takes it out.
+// Mutant is a source change that removes one mechanism.
 type Mutant struct {
-	// Name is its name on the list.
+	// Name is the name on the list.
 	Name string
-	// File is the file that changes first, below the tree's root.
+	// File is the file of the first replacement, relative to the root of the source tree.
 	File string
-	// Change holds pairs of text, as Texts takes them.
+	// Change holds the replacements in the format of ChangedFiles.
 	Change string
 }
 
-// ChangedFiles makes the changes of one mutant and gives the changed files' texts by path. A
-// change is the text that goes, a line of three dashes, and what takes its place; more
-// follow after a line of three equal signs, and may begin with "@ " and another file.
+// ChangedFiles applies the replacements of one mutant in memory and returns the new contents
+// of the changed files by path. A replacement is the old text, a line of three dashes and the
+// new text. Replacements are separated by a line of three equal signs, and may begin with a
+// line "@ FILE" that selects another file. It returns ErrStale if an old text does not match
+// once.
 func ChangedFiles(root, file, change string) (map[string]string, error) {
 	texts := map[string]string{}
-	for _, one := range strings.Split(change, "\n===\n") {
-		if named, rest, ok := strings.Cut(one, "\n"); ok && strings.HasPrefix(named, "@ ") {
-			file, one = strings.TrimPrefix(named, "@ "), rest
+	for _, replacement := range strings.Split(change, "\n===\n") {
+		if header, text, ok := strings.Cut(replacement, "\n"); ok && strings.HasPrefix(header, "@ ") {
+			file, replacement = strings.TrimPrefix(header, "@ "), text
 		}
-		if err := edit(texts, filepath.Join(root, file), one); err != nil {
+		if err := edit(texts, filepath.Join(root, file), replacement); err != nil {
 			return nil, err
 		}
 	}
 	return texts, nil
 }
 
-// edit makes one change in the text of a file, reading the file first if it is not
-// among the texts.
+// edit applies one replacement to the file at path, which it first reads if texts does not
+// hold it yet.
 func edit(texts map[string]string, path, change string) error {
 	if _, ok := texts[path]; !ok {
 		data, err := os.ReadFile(path)
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// Find gives the mutant of a name from a tree's list; ErrUnknown if it has none.
+// Find returns the named mutant from the list of the tree at root, or ErrUnknown.
 func Find(root, name string) (*Mutant, error) {
 	data, err := os.ReadFile(filepath.Join(root, ListPath))
 	if err != nil {
@@ -84,7 +86,7 @@
 }
 
 // parse reads one block of the list: comments, a line of name and arguments, the change,
-// and behind four dashes what the test expects. It gives nil for comments alone.
+// and after four dashes the expected test result. It returns nil for a block of comments.
 func parse(block string) (*Mutant, error) {
 	lines := strings.Split(strings.TrimSpace(block), "\n")
 	for len(lines) > 0 && strings.HasPrefix(lines[0], "#") {
@@ -107,7 +109,7 @@
 	return m, nil
 }
 
-// Apply changes the files of a tree.
+// Apply writes the changed files to the source tree at root.
 func (m *Mutant) Apply(root string) error {
 	texts, err := ChangedFiles(root, m.File, m.Change)
 	if err != nil {
--- a/bench/mutant/mutant_test.go
+++ b/bench/mutant/mutant_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestApply takes a mechanism out of a tree, in two files, and refuses one that is not on
-// the list or does not fit the tree any more.
+// TestApply applies a mutant that changes two files, and checks the errors for a mutant that is
+// not on the list and for one whose text no longer occurs in the tree.
 func TestApply(t *testing.T) {
 	is := is.New(t)
 	root := t.TempDir()
@@ -34,7 +34,7 @@
 	is.True(errors.Is(m.Apply(root), ErrStale))
 }
 
-// TestRealList finds every mechanism of the product's own list, with its file.
+// TestRealList parses the product's own list up to a known mutant.
 func TestRealList(t *testing.T) {
 	is := is.New(t)
 	m, err := Find("../..", "all-take-a-free-slot")
--- a/bench/pairs/doc.go
+++ b/bench/pairs/doc.go
@@ -1,4 +1,4 @@
-// Command pairs compares versions of the product on the users' bench: it plays each on the
-// same sites, days and seeds, and tells the paired differences with their spread from the
-// bench's journal alone.
+// Command pairs compares versions of the product in the benchmark. It runs each version on the
+// same sites, days and seeds, and prints the paired differences with their confidence
+// intervals, computed from the benchmark's journal alone.
 package main
--- a/bench/pairs/journal.go
+++ b/bench/pairs/journal.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// tag is how an entry tells of which comparison and version it is.
+// tag matches the prefix of an entry's reason, which holds the comparison and the version.
 var tag = regexp.MustCompile(`^pair ([\w.-]+) ([\w.-]+): `)
 
-// entry is what is read of an entry of the bench's journal.
+// entry holds the fields of a journal entry of the benchmark that are read.
 type entry struct {
 	Why    string `json:"why"`
 	Site   string `json:"site"`
@@ -29,20 +29,20 @@
 	} `json:"days"`
 }
 
-// amount is a part of a day's worth, or a price: its name, its size and what it makes.
+// amount is a part of a day's worth, or a price: its name, its size and its effect on the worth.
 type amount struct {
 	Name  string
 	Size  float64
 	Worth float64
 }
 
-// UnmarshalJSON implements json.Unmarshaler: the bench writes a list of three.
+// UnmarshalJSON implements json.Unmarshaler. The benchmark writes an array of three values.
 func (a *amount) UnmarshalJSON(data []byte) error {
 	return json.Unmarshal(data, &[]any{&a.Name, &a.Size, &a.Worth})
 }
 
-// place is a day of a site with its seed.
-type place struct {
+// dayRun identifies a run of the benchmark by site, day and seed.
+type dayRun struct {
 	Site string
 	Day  string
 	Seed int64
@@ -50,33 +50,33 @@
 	file string
 }
 
-// same says whether two places are one.
-func (p place) same(other place) bool {
+// equal reports whether two runs have the same site, day and seed.
+func (p dayRun) equal(other dayRun) bool {
 	return p.Site == other.Site && p.Day == other.Day && p.Seed == other.Seed
 }
 
-// result is a day that was played with one version.
+// result is the outcome of a run with one version.
 type result struct {
-	place
+	dayRun
 	Label string
 	Worth float64
-	// Broken is whether a rule was broken or the day failed.
+	// Broken reports whether a rule was broken or the day failed.
 	Broken bool
 	Parts  []amount
 	Prices []amount
 	Kinds  []kind
 }
 
-// kind is how the calls of one kind ended.
+// kind holds the outcomes of the calls of one kind.
 type kind struct {
 	Name                                 string
 	Asked, OnTime, Late, Refused, Failed float64
-	// NotOwed are the calls that nothing was owed for.
+	// NotOwed counts calls that were not entitled to a response.
 	NotOwed float64
 }
 
-// finished says whether an entry is whole: the bench writes it when a play begins, and
-// again at its end.
+// finished reports whether an entry is complete. The benchmark writes it at the start of a run
+// and again at its end.
 func finished(path string) bool {
 	e, err := read(path)
 	return err == nil && len(e.Days) > 0
@@ -94,7 +94,7 @@
 	return e, nil
 }
 
-// load reads all results of one comparison.
+// load reads all results of the named comparison from the journal in dir.
 func load(dir, name string) ([]result, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -112,7 +112,7 @@
 		}
 		day := e.Days[0]
 		out = append(out, result{
-			place: place{Site: e.Site, Day: day.Name, Seed: day.Seed}, Label: m[2],
+			dayRun: dayRun{Site: e.Site, Day: day.Name, Seed: day.Seed}, Label: m[2],
 			Worth: day.Worth, Broken: len(day.Rules) > 0 || day.Fault != nil,
 			Parts: day.Parts, Prices: day.Prices, Kinds: kinds(e.Digest),
 		})
@@ -120,10 +120,10 @@
 	return out, nil
 }
 
-// kindFields are the columns of the bench's table of kinds that are read.
+// kindFields is the number of columns read from the benchmark's table of kinds.
 const kindFields = 7
 
-// kinds reads the table of the kinds of calls from a day's text.
+// kinds reads the table of call kinds from the digest of a day.
 func kinds(digest string) []kind {
 	_, table, ok := strings.Cut(digest, "\nclass ")
 	if !ok {
@@ -138,7 +138,7 @@
 		}
 		var v [kindFields]float64
 		for i := 1; i < kindFields; i++ {
-			v[i], _ = strconv.ParseFloat(fields[i], 64) // "-" is none asked
+			v[i], _ = strconv.ParseFloat(fields[i], 64) // "-": no calls of this kind
 		}
 		out = append(out, kind{
 			Name: fields[0], Asked: v[1], OnTime: v[2], Late: v[3], Refused: v[4], Failed: v[5], NotOwed: v[6],
--- a/bench/pairs/pairs_test.go
+++ b/bench/pairs/pairs_test.go
@@ -14,13 +14,13 @@
 	"github.com/matryer/is"
 )
 
-// TestMain lets the flags of data-driven tests be parsed ahead of the tests.
+// TestMain parses the flags of the datadriven package before the tests run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	os.Exit(m.Run())
 }
 
-// TestScript runs the command lines of testdata/script over the journal beside it.
+// TestScript runs the command lines of testdata/script on the journal in testdata/journal.
 func TestScript(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
@@ -36,7 +36,7 @@
 	})
 }
 
-// TestPlot draws a comparison.
+// TestPlot checks that the plot of a comparison holds the labels of all versions.
 func TestPlot(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "demo.svg")
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestMissing plays only what the journal does not hold.
+// TestMissing checks that runs in the journal are not repeated.
 func TestMissing(t *testing.T) {
 	is := is.New(t)
 	played, err := load("testdata/journal", "demo")
@@ -59,7 +59,8 @@
 	is.Equal(missing[0].Seed, int64(3))
 }
 
-// TestCollect copies finished entries with what they name, and loses none that is there.
+// TestCollect checks that finished entries are copied with their blobs, that unfinished ones are
+// not, and that existing entries are not overwritten.
 func TestCollect(t *testing.T) {
 	is := is.New(t)
 	from, to := t.TempDir(), t.TempDir()
@@ -80,7 +81,7 @@
 	}
 }
 
-// TestWrongRevision names the revision that the repository does not have.
+// TestWrongRevision checks that the error for an unknown revision names it.
 func TestWrongRevision(t *testing.T) {
 	is := is.New(t)
 	p := &plan{Repo: "."}
@@ -89,12 +90,12 @@
 	is.True(strings.Contains(err.Error(), "no-such-revision"))
 }
 
-// TestSpread checks the interval against one reckoned by hand: mean 2, deviation 1, and
-// 4.303 for three values.
+// TestSpread checks the interval against one calculated by hand: mean 2, standard deviation 1,
+// and a quantile of 4.303 for three values.
 func TestSpread(t *testing.T) {
 	is := is.New(t)
 	s := spreadOf([]float64{1, 2, 3})
 	is.Equal(s.String(), "+2.0000 ± 2.4841 (inside the noise)")
-	is.True(spreadOf([]float64{0.1}).Noise())
-	is.True(!spreadOf([]float64{0.1, 0.1001, 0.1002}).Noise())
+	is.True(spreadOf([]float64{0.1}).InsideNoise())
+	is.True(!spreadOf([]float64{0.1, 0.1001, 0.1002}).InsideNoise())
 }
--- a/bench/pairs/play.go
+++ b/bench/pairs/play.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// mutantList is where the mechanisms stand, for the help.
+	// mutantList is the path of the list of mutants, for the help text.
 	mutantList = mutant.ListPath
-	// baseLabel names the version that the others are compared with.
+	// baseLabel is the label of the version that the others are compared with.
 	baseLabel = "base"
-	// maxJobs bounds the days played at once: each takes a core.
+	// maxJobs bounds the concurrent runs; each uses one core.
 	maxJobs = 8
 )
 
-// plain is what names and labels consist of, as they stand in the journal's lines.
-var plain = regexp.MustCompile(`^[\w.-]+$`)
+// validName matches the names and labels that tag can read back from the journal.
+var validName = regexp.MustCompile(`^[\w.-]+$`)
 
-// plan is what is to be played.
+// plan holds the arguments of the play command.
 type plan struct {
 	Bench, Repo, Journal string
 	Name, Why            string
@@ -43,31 +43,31 @@
 	Jobs                 int
 }
 
-// version is one version of the product in a folder of its own.
+// version is a version of the product, checked out in its own folder.
 type version struct {
 	label, revision string
-	// without is the mechanism that is taken out; empty for none.
+	// without is the name of the mutant to apply; empty for none.
 	without string
 	dir     string
 }
 
-// check says what is missing or wrong.
+// check returns an error that wraps errUsage for a missing or invalid argument.
 func (p *plan) check() error {
-	for _, one := range []struct {
+	for _, arg := range []struct {
 		flag  string
 		wrong bool
 		need  string
 	}{
 		{"--bench", p.Bench == "", "the path of the bench's program"},
-		{"--name", !plain.MatchString(p.Name), "a name of letters, digits, dots and dashes"},
+		{"--name", !validName.MatchString(p.Name), "a name of letters, digits, dots and dashes"},
 		{"--why", p.Why == "", "what is asked"},
 		{"--site", len(p.Sites) == 0, "a site file at least"},
 		{"--day", len(p.Days) == 0, "a day at least"},
 		{"--seed", len(p.Seeds) == 0, "a seed at least"},
 		{"--jobs", p.Jobs < 1 || p.Jobs > maxJobs, fmt.Sprintf("a number from 1 to %d", maxJobs)},
 	} {
-		if one.wrong {
-			return fmt.Errorf("%w: %s needs %s", errUsage, one.flag, one.need)
+		if arg.wrong {
+			return fmt.Errorf("%w: %s needs %s", errUsage, arg.flag, arg.need)
 		}
 	}
 	for _, file := range append([]string{p.Bench}, p.Sites...) {
@@ -76,14 +76,14 @@
 		}
 	}
 	for label := range p.Others {
-		if !plain.MatchString(label) || label == baseLabel {
+		if !validName.MatchString(label) || label == baseLabel {
 			return fmt.Errorf("%w: --other %s: a label of letters, digits, dots and dashes, not %q", errUsage, label, baseLabel)
 		}
 	}
 	return nil
 }
 
-// setSeeds reads the seeds.
+// setSeeds parses the --seed arguments.
 func (p *plan) setSeeds(texts []string) error {
 	for _, text := range texts {
 		seed, err := strconv.ParseInt(text, 10, 64)
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// play plays all versions; what the journal holds already is not played again.
+// play runs all versions, except for the runs that the journal already holds.
 func (p *plan) play(ctx context.Context) error {
 	if err := p.check(); err != nil {
 		return err
@@ -109,7 +109,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var mu sync.Mutex // one copy into the journal at a time
+	var mu sync.Mutex // serializes copies into the journal
 	work := pool.New().WithErrors().WithMaxGoroutines(p.Jobs)
 	var failed error
 	for _, v := range p.versions(dir) {
@@ -117,19 +117,19 @@
 		if len(missing) == 0 {
 			continue
 		}
-		// The others are played all the same where one does not build.
+		// A version that does not build does not stop the others.
 		if err := p.prepare(ctx, v); err != nil {
 			failed = errors.Join(failed, fmt.Errorf("%s: %w", v.label, err))
 			continue
 		}
 		for _, one := range missing {
-			work.Go(func() error { return p.one(ctx, &mu, v, one) })
+			work.Go(func() error { return p.playDay(ctx, &mu, v, one) })
 		}
 	}
 	return errors.Join(failed, work.Wait())
 }
 
-// versions gives what is compared, the base first.
+// versions returns the versions to compare: the base, then the others in order of label.
 func (p *plan) versions(dir string) []*version {
 	out := []*version{{label: baseLabel, revision: p.Base}}
 	for label, revision := range p.Others {
@@ -145,15 +145,15 @@
 	return out
 }
 
-// missing gives the plays of a version that the journal does not hold.
-func (p *plan) missing(v *version, played []result) []place {
-	var out []place
+// missing returns the runs of a version that the journal does not hold.
+func (p *plan) missing(v *version, played []result) []dayRun {
+	var out []dayRun
 	for _, site := range p.Sites {
 		for _, day := range p.Days {
 			for _, seed := range p.Seeds {
-				one := place{Site: siteName(site), Day: day, Seed: seed, file: site}
-				if !slices.ContainsFunc(played, func(r result) bool { return r.Label == v.label && r.same(one) }) {
-					out = append(out, one)
+				run := dayRun{Site: siteName(site), Day: day, Seed: seed, file: site}
+				if !slices.ContainsFunc(played, func(r result) bool { return r.Label == v.label && r.equal(run) }) {
+					out = append(out, run)
 				}
 			}
 		}
@@ -161,16 +161,16 @@
 	return out
 }
 
-// siteName is the name of a site in the journal.
+// siteName returns the name of a site in the journal.
 func siteName(file string) string { return strings.TrimSuffix(filepath.Base(file), ".toml") }
 
-// prepare lays a version out in its folder and builds it.
+// prepare checks a version out in its folder, applies its mutant and builds it.
 func (p *plan) prepare(ctx context.Context, v *version) error {
 	repo, err := filepath.Abs(p.Repo)
 	if err != nil {
 		return err
 	}
-	// A branch's name means nothing in a clone, its commit does.
+	// Resolve the commit first: a clone does not have the local branches under their names.
 	commit, err := command(ctx, repo, "git", "rev-parse", "--verify", v.revision+"^{commit}")
 	if err != nil {
 		return fmt.Errorf("%w: no revision %s: %w", errUsage, v.revision, err)
@@ -194,29 +194,29 @@
 	return err
 }
 
-// one plays one day and moves its entry to the journal.
-func (p *plan) one(ctx context.Context, mu *sync.Mutex, v *version, at place) error {
-	site, err := filepath.Abs(at.file)
+// playDay runs one day and copies its entry to the journal.
+func (p *plan) playDay(ctx context.Context, mu *sync.Mutex, v *version, run dayRun) error {
+	site, err := filepath.Abs(run.file)
 	if err != nil {
 		return err
 	}
 	why := fmt.Sprintf("pair %s %s: %s", p.Name, v.label, p.Why)
-	_, err = command(ctx, v.dir, p.Bench, "run", site, at.Day, "--seed", strconv.FormatInt(at.Seed, 10), "--why", why)
+	_, err = command(ctx, v.dir, p.Bench, "run", site, run.Day, "--seed", strconv.FormatInt(run.Seed, 10), "--why", why)
 	mu.Lock()
 	defer mu.Unlock()
-	fmt.Printf("%s %s %s %d: %s\n", v.label, at.Site, at.Day, at.Seed, told(err))
-	// A day that breaks a rule ends the bench with an error and leaves its entry too.
+	fmt.Printf("%s %s %s %d: %s\n", v.label, run.Site, run.Day, run.Seed, playResult(err))
+	// The benchmark exits with an error on a broken rule, but still writes its entry.
 	return errors.Join(err, collect(filepath.Join(v.dir, "journal"), p.Journal))
 }
 
-func told(err error) string {
+func playResult(err error) string {
 	if err == nil {
 		return "played"
 	}
 	return err.Error()
 }
 
-// command runs a program and gives what it printed; the error holds it too.
+// command runs a program in dir and returns its combined output, which its error includes too.
 func command(ctx context.Context, dir, name string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, name, args...)
 	cmd.Dir = dir
@@ -228,7 +228,7 @@
 	return text, nil
 }
 
-// collect copies the entries that are finished and not in the journal yet, as they are.
+// collect copies finished entries and their files to the journal, unless they exist there.
 func collect(from, to string) error {
 	return filepath.WalkDir(from, func(path string, d os.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
--- a/bench/pairs/plot.go
+++ b/bench/pairs/plot.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// plotWidth, and plotRow for each version with plotFrame around them, is the
-	// picture's size.
+	// The plot is plotWidth wide, and plotRow high for each version plus plotFrame for
+	// title and axis.
 	plotWidth = 18 * vg.Centimeter
 	plotRow   = 0.7 * vg.Centimeter
 	plotFrame = 3 * vg.Centimeter
 )
 
-// rows are the points of a picture with the half widths of their spreads.
-type rows struct {
+// series holds the points of the plot with the half widths of their confidence intervals.
+type series struct {
 	plotter.XYs
 	plotter.XErrors
 }
 
-// draw draws each version's difference from the base, with its spread.
+// draw writes a plot of each version's mean difference from the base, with its confidence interval.
 func draw(file, name string, labels []string, pairs map[string][]pair) error {
 	p := plot.New()
 	p.Title.Text = name
 	p.X.Label.Text = "worth against the base"
-	data := rows{XYs: make(plotter.XYs, len(labels)), XErrors: make(plotter.XErrors, len(labels))}
+	data := series{XYs: make(plotter.XYs, len(labels)), XErrors: make(plotter.XErrors, len(labels))}
 	for i, label := range labels {
 		s := spreadOf(differences(pairs[label], worthOf))
 		data.XYs[i] = plotter.XY{X: s.Mean, Y: float64(i)}
--- a/bench/pairs/table.go
+++ b/bench/pairs/table.go
@@ -12,23 +12,23 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is how sure the spread of a difference is to hold its true value.
+// confidence is the confidence level of the intervals.
 const confidence = 0.95
 
-// errNothing says that the journal holds no pair to compare.
-var errNothing = errors.New("the journal holds no pairs")
+// errNoPairs reports a journal without a pair to compare.
+var errNoPairs = errors.New("the journal holds no pairs")
 
-// pair is the same day with the base and with another version.
+// pair holds the results of one run with the base and with another version.
 type pair struct{ base, other result }
 
-// spread is the mean of differences, and how far from it the true one may lie.
+// spread is the mean of N differences with the half width of its confidence interval.
 type spread struct {
 	N          int
 	Mean, Half float64
 }
 
-// Noise says whether the true difference may be none.
-func (s spread) Noise() bool { return s.N < 2 || math.Abs(s.Mean) <= s.Half }
+// InsideNoise reports whether the interval includes 0, or cannot be computed.
+func (s spread) InsideNoise() bool { return s.N < 2 || math.Abs(s.Mean) <= s.Half }
 
 // String implements fmt.Stringer.
 func (s spread) String() string {
@@ -36,13 +36,13 @@
 	if s.N > 1 {
 		text += fmt.Sprintf(" ± %.4f", s.Half)
 	}
-	if s.Noise() {
+	if s.InsideNoise() {
 		text += " (inside the noise)"
 	}
 	return text
 }
 
-// spreadOf gives the mean and the half width of Student's interval.
+// spreadOf returns the mean and the half width of Student's t interval.
 func spreadOf(differences []float64) spread {
 	n := len(differences)
 	if n < 2 {
@@ -53,26 +53,26 @@
 	return spread{N: n, Mean: mean, Half: t.Quantile((1+confidence)/2) * stat.StdErr(dev, float64(n))}
 }
 
-// report is what to tell of a comparison.
+// report holds the arguments of the table command.
 type report struct {
 	Journal, Name string
 	// Against is the label of the version that the others are compared with.
 	Against string
-	// Detail asks for days, kinds of call and prices too.
+	// Detail also prints days, kinds of call and prices.
 	Detail bool
-	// Picture is the file to draw into; empty for none.
+	// Picture is the file for the plot; empty for none.
 	Picture string
 }
 
-// pairsOf gives, for each other version, its pairs with the one that they are compared
-// with, in order of their labels.
+// pairsOf returns the pairs of each version with the version labeled against, and the labels
+// of the versions in order.
 func pairsOf(results []result, against string) (labels []string, pairs map[string][]pair) {
 	pairs = make(map[string][]pair)
 	for _, other := range results {
 		if other.Label == against {
 			continue
 		}
-		i := slices.IndexFunc(results, func(r result) bool { return r.Label == against && r.same(other.place) })
+		i := slices.IndexFunc(results, func(r result) bool { return r.Label == against && r.equal(other.dayRun) })
 		if i >= 0 {
 			pairs[other.Label] = append(pairs[other.Label], pair{base: results[i], other: other})
 		}
@@ -84,7 +84,7 @@
 	return labels, pairs
 }
 
-// print prints the comparison, and draws it if a file is named.
+// print writes the comparison to w, and the plot if a file is set.
 func (r *report) print(w io.Writer) error {
 	if r.Name == "" {
 		return fmt.Errorf("%w: --name needs the comparison's name", errUsage)
@@ -95,11 +95,11 @@
 	}
 	labels, pairs := pairsOf(results, r.Against)
 	if len(labels) == 0 {
-		return fmt.Errorf("%w named %s with %s in %s", errNothing, r.Name, r.Against, r.Journal)
+		return fmt.Errorf("%w named %s with %s in %s", errNoPairs, r.Name, r.Against, r.Journal)
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, label := range labels {
-		r.version(out, label, pairs[label])
+		r.printVersion(out, label, pairs[label])
 	}
 	if err := out.Flush(); err != nil {
 		return err
@@ -110,20 +110,20 @@
 	return draw(r.Picture, r.Name, labels, pairs)
 }
 
-// version prints one version's differences.
-func (r *report) version(w io.Writer, label string, list []pair) {
+// printVersion prints the differences of one version.
+func (r *report) printVersion(w io.Writer, label string, list []pair) {
 	fmt.Fprintf(w, "%s: %d pairs, worth %.4f to %.4f, %v\n", label, len(list),
 		meanOf(list, func(p pair) float64 { return p.base.Worth }), meanOf(list, func(p pair) float64 { return p.other.Worth }),
 		spreadOf(differences(list, worthOf)))
-	broken(w, list)
-	group(w, list, func(p pair) string { return p.base.Site })
+	printBroken(w, list)
+	printGroups(w, list, func(p pair) string { return p.base.Site })
 	if !r.Detail {
 		return
 	}
-	group(w, list, func(p pair) string { return p.base.Site + " " + p.base.Day })
-	amounts(w, list, "part", func(r result) []amount { return r.Parts }, func(a amount) float64 { return a.Worth })
-	amounts(w, list, "price", func(r result) []amount { return r.Prices }, func(a amount) float64 { return -a.Worth })
-	shares(w, list)
+	printGroups(w, list, func(p pair) string { return p.base.Site + " " + p.base.Day })
+	printAmounts(w, list, "part", func(r result) []amount { return r.Parts }, func(a amount) float64 { return a.Worth })
+	printAmounts(w, list, "price", func(r result) []amount { return r.Prices }, func(a amount) float64 { return -a.Worth })
+	printShares(w, list)
 }
 
 func worthOf(r result) float64 { return r.Worth }
@@ -144,8 +144,8 @@
 	return out
 }
 
-// broken names the days on which a rule was broken.
-func broken(w io.Writer, list []pair) {
+// printBroken prints the runs in which a rule was broken.
+func printBroken(w io.Writer, list []pair) {
 	for _, p := range list {
 		for _, r := range []result{p.base, p.other} {
 			if r.Broken {
@@ -155,8 +155,8 @@
 	}
 }
 
-// group prints the differences of worth of groups of pairs.
-func group(w io.Writer, list []pair, by func(pair) string) {
+// printGroups prints the differences of worth for each group of pairs.
+func printGroups(w io.Writer, list []pair, by func(pair) string) {
 	groups := map[string][]pair{}
 	var names []string
 	for _, p := range list {
@@ -167,17 +167,17 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		one := groups[name]
-		fmt.Fprintf(w, "  %s\t%.4f\t%.4f\t%v\n", name, meanOf(one, func(p pair) float64 { return p.base.Worth }),
-			meanOf(one, func(p pair) float64 { return p.other.Worth }), spreadOf(differences(one, worthOf)))
+		members := groups[name]
+		fmt.Fprintf(w, "  %s\t%.4f\t%.4f\t%v\n", name, meanOf(members, func(p pair) float64 { return p.base.Worth }),
+			meanOf(members, func(p pair) float64 { return p.other.Worth }), spreadOf(differences(members, worthOf)))
 	}
 }
 
-// smallest is the mean difference below which a part or price is not printed.
-const smallest = 0.0005
+// minDifference is the mean difference below which a part or price is not printed.
+const minDifference = 0.0005
 
-// amounts prints the differences of the parts or prices that changed.
-func amounts(w io.Writer, list []pair, what string, of func(result) []amount, value func(amount) float64) {
+// printAmounts prints the differences of the parts or prices that changed.
+func printAmounts(w io.Writer, list []pair, what string, of func(result) []amount, value func(amount) float64) {
 	for _, named := range of(list[0].base) {
 		get := func(r result) float64 {
 			i := slices.IndexFunc(of(r), func(a amount) bool { return a.Name == named.Name })
@@ -186,16 +186,16 @@
 			}
 			return value(of(r)[i])
 		}
-		if d := spreadOf(differences(list, get)); math.Abs(d.Mean) >= smallest {
+		if d := spreadOf(differences(list, get)); math.Abs(d.Mean) >= minDifference {
 			fmt.Fprintf(w, "  %s %s\t%.4f\t%.4f\t%v\n", what, named.Name, meanOf(list, func(p pair) float64 { return get(p.base) }),
 				meanOf(list, func(p pair) float64 { return get(p.other) }), d)
 		}
 	}
 }
 
-// shares prints how the calls of each kind ended: on time, late, refused and failed, of
-// those that an answer was owed for.
-func shares(w io.Writer, list []pair) {
+// printShares prints the fractions of the calls of each kind that were on time, late, refused
+// and failed, of the calls entitled to a response.
+func printShares(w io.Writer, list []pair) {
 	sums := map[string]*[2]kind{}
 	var names []string
 	for _, p := range list {
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// engineAnswer writes one completion, streamed or not.
-type engineAnswer struct {
-	engine *Engine
-	out    io.Writer
-	chat   bool
-	call   *completionCall
-	words  []string
-	prompt int
+// completionWriter writes one completion, as a stream of events or as one JSON body.
+type completionWriter struct {
+	engine       *Engine
+	out          io.Writer
+	chat         bool
+	call         *completionRequest
+	words        []string
+	promptTokens int
 }
 
-// usage is the token count of an answer.
+// usage holds the token counts of a completion.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
@@ -42,73 +42,73 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// write gives the whole answer; false says that the call was cancelled first.
-func (a *engineAnswer) write(ctx context.Context) bool {
+// write writes the completion. It reports false if ctx ended or a write failed first.
+func (a *completionWriter) write(ctx context.Context) bool {
 	if a.call.Stream {
 		return a.stream(ctx)
 	}
-	if !a.engine.pause(ctx, float64(len(a.words)), a.engine.DecodePerSecond) {
+	if !a.engine.waitTokens(ctx, float64(len(a.words)), a.engine.DecodePerSecond) {
 		return false
 	}
 	text := strings.Join(a.words, " ")
 	stop := "stop"
-	one := choice{FinishReason: &stop}
+	c := choice{FinishReason: &stop}
 	if a.chat {
-		one.Message = &message{Role: "assistant", Content: text}
+		c.Message = &message{Role: "assistant", Content: text}
 	} else {
-		one.Text = &text
+		c.Text = &text
 	}
-	whole := a.frame("", one)
-	whole.Usage = &usage{PromptTokens: a.prompt, CompletionTokens: len(a.words), TotalTokens: a.prompt + len(a.words)}
-	return json.NewEncoder(a.out).Encode(whole) == nil
+	body := a.completion("", c)
+	body.Usage = &usage{PromptTokens: a.promptTokens, CompletionTokens: len(a.words), TotalTokens: a.promptTokens + len(a.words)}
+	return json.NewEncoder(a.out).Encode(body) == nil
 }
 
-// stream gives the words in parts, as they are decoded, and then [DONE].
-func (a *engineAnswer) stream(ctx context.Context) bool {
-	part := 1
+// stream writes the words in chunks at the decode rate, then [DONE].
+func (a *completionWriter) stream(ctx context.Context) bool {
+	step := 1
 	if rate := a.engine.DecodePerSecond; rate > 0 {
-		part = max(1, int(rate*decodeStep.Seconds()))
+		step = max(1, int(rate*decodeStep.Seconds()))
 	}
-	for from := 0; from < len(a.words); from += part {
-		to := min(from+part, len(a.words))
-		if !a.engine.pause(ctx, float64(to-from), a.engine.DecodePerSecond) {
+	for from := 0; from < len(a.words); from += step {
+		to := min(from+step, len(a.words))
+		if !a.engine.waitTokens(ctx, float64(to-from), a.engine.DecodePerSecond) {
 			return false
 		}
 		text := strings.Join(a.words[from:to], " ")
 		if to < len(a.words) {
 			text += " "
 		}
-		if !a.event(a.part(text, nil)) {
+		if !a.writeEvent(a.chunk(text, nil)) {
 			return false
 		}
 	}
 	stop := "stop"
-	if !a.event(a.part("", &stop)) {
+	if !a.writeEvent(a.chunk("", &stop)) {
 		return false
 	}
 	_, err := a.out.Write([]byte("data: [DONE]\n\n"))
 	return err == nil
 }
 
-func (a *engineAnswer) part(text string, finish *string) *completion {
-	one := choice{FinishReason: finish}
+func (a *completionWriter) chunk(text string, finish *string) *completion {
+	c := choice{FinishReason: finish}
 	if a.chat {
-		one.Delta = &message{Role: "assistant", Content: text}
+		c.Delta = &message{Role: "assistant", Content: text}
 	} else {
-		one.Text = &text
+		c.Text = &text
 	}
-	return a.frame(".chunk", one)
+	return a.completion(".chunk", c)
 }
 
-func (a *engineAnswer) frame(suffix string, one choice) *completion {
+func (a *completionWriter) completion(suffix string, c choice) *completion {
 	object := "text_completion"
 	if a.chat {
 		object = "chat.completion" + suffix
 	}
-	return &completion{ID: "cmpl-1", Object: object, Created: time.Now().Unix(), Model: a.call.Model, Choices: []choice{one}}
+	return &completion{ID: "cmpl-1", Object: object, Created: time.Now().Unix(), Model: a.call.Model, Choices: []choice{c}}
 }
 
-func (a *engineAnswer) event(frame *completion) bool {
+func (a *completionWriter) writeEvent(frame *completion) bool {
 	data, err := json.Marshal(frame)
 	if err != nil {
 		return false
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,4 +1,4 @@
-// Package standin takes the place of backend servers and of the platform in
-// tests and in dev: a model engine, a plain service, the log service and the
-// host list. It is no part of the product.
+// Package standin implements fakes of backend servers and of platform services
+// for tests and for dev mode: a model engine, a plain service, a routed server,
+// the log service, the store and the host list. The product does not use it.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -12,60 +12,60 @@
 	"github.com/runworks/runworks"
 )
 
-// Engine is a stand-in for a model engine. Its answer to a prompt is the
-// prompt's words, repeated in order up to max_tokens. Set the exported fields
+// Engine is a fake model engine. Its completion of a prompt is the prompt's
+// words, repeated in order up to max_tokens. Exported fields must be set
 // before use.
 type Engine struct {
-	// Name shows in the load report.
+	// Name is the engine's name in the load report.
 	Name string
-	// Slots is how many requests run at once; others wait by rank.
+	// Slots is the number of requests that run at once. Others wait in order of rank.
 	Slots int
-	// PrefillPerSecond and DecodePerSecond are its rates in tokens a second, for
-	// each request.
+	// PrefillPerSecond and DecodePerSecond are the rates of one request in tokens
+	// per second; 0 takes no time.
 	PrefillPerSecond float64
 	DecodePerSecond  float64
-	// CachedPrompts bounds the prompts whose prefill is skipped when they come
-	// again.
+	// CachedPrompts is the number of prompts in the prefix cache, whose prefill is
+	// skipped on repetition.
 	CachedPrompts int
-	// ReportLag is how old the load report is.
+	// ReportLag is the age of the load that Report returns.
 	ReportLag time.Duration
 
-	mu      sync.Mutex
-	slow    float64
-	running int
-	waiting waiters
-	seq     int
-	cache   []string
-	reports []report
-	stats   EngineStats
-	jobs    map[string]*job
+	mu       sync.Mutex
+	slowdown float64
+	running  int
+	waiting  waiters
+	seq      int
+	cache    []string
+	loads    []loadSample
+	stats    EngineStats
+	jobs     map[string]*job
 }
 
-// EngineStats is what the engine counted.
+// EngineStats holds the counters of an Engine.
 type EngineStats struct {
-	// Dispatches counts calls by request id.
+	// Dispatches counts calls by request ID.
 	Dispatches map[string]int `json:"dispatches"`
-	// PromptTokens counts prefilled tokens, Thrown those whose answer was not
-	// finished, and Cached those that the prefix cache spared.
+	// PromptTokens counts prefilled tokens, WastedTokens the prompt tokens of
+	// unfinished completions, and CachedTokens those found in the prefix cache.
 	PromptTokens int `json:"prompt_tokens"`
 	WastedTokens int `json:"thrown"`
 	CachedTokens int `json:"cached"`
 }
 
-// Load is the engine's load report.
+// Load is a load report: the requests that run and those that wait for a slot.
 type Load struct {
 	Name    string `json:"name"`
 	Running int    `json:"running"`
 	Waiting int    `json:"waiting"`
 }
 
-type report struct {
+type loadSample struct {
 	at   time.Time
 	load Load
 }
 
-// completionCall is what the engine reads of a call.
-type completionCall struct {
+// completionRequest holds the fields of a request body that the engine reads.
+type completionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
 	Messages  []message `json:"messages"`
@@ -80,11 +80,12 @@
 
 const (
 	defaultAnswerTokens = 16
-	// decodeStep is the shortest time between two parts of a streamed answer.
+	// decodeStep is the shortest time between two chunks of a stream.
 	decodeStep = 5 * time.Millisecond
 )
 
-// CompletionWords gives the answer to a prompt: its words, repeated in order.
+// CompletionWords returns the completion of a prompt: its words, repeated in order. A maxTokens of
+// 0 or less selects the default of 16.
 func CompletionWords(prompt string, maxTokens int) []string {
 	words := strings.Fields(prompt)
 	if len(words) == 0 {
@@ -100,8 +101,8 @@
 	return out
 }
 
-// Handler serves the completions interface, GET and DELETE /requests/{id}, GET /load, GET /stats and
-// POST /control?slow=F, which makes the engine F times as slow.
+// Handler returns a handler of the completions API, GET and DELETE /requests/{id}, GET /load,
+// GET /stats and POST /control?slow=F, which makes the engine F times as slow.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.complete(w, r, true) })
@@ -113,7 +114,7 @@
 	mux.HandleFunc("POST /control", func(w http.ResponseWriter, r *http.Request) {
 		factor, err := strconv.ParseFloat(r.URL.Query().Get("slow"), 64)
 		if err != nil || factor <= 0 {
-			http.Error(w, "slow must be a number above zero", http.StatusBadRequest)
+			http.Error(w, "slow must be a number greater than 0", http.StatusBadRequest)
 			return
 		}
 		e.SetSlowdown(factor)
@@ -121,14 +122,14 @@
 	return mux
 }
 
-// SetSlowdown makes the engine factor times as slow.
+// SetSlowdown multiplies the duration of prefill and decode by factor.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = factor
+	e.slowdown = factor
 }
 
-// Stats gives what was counted.
+// Stats returns a copy of the counters.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,14 +141,14 @@
 	return out
 }
 
-// Report gives the load as it was ReportLag ago.
+// Report returns the load of ReportLag ago.
 func (e *Engine) Report() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	old := time.Now().Add(-e.ReportLag)
+	cutoff := time.Now().Add(-e.ReportLag)
 	out := Load{Name: e.Name}
-	for _, r := range e.reports {
-		if r.at.After(old) {
+	for _, r := range e.loads {
+		if r.at.After(cutoff) {
 			break
 		}
 		out = r.load
@@ -156,7 +157,7 @@
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request, chat bool) {
-	var call completionCall
+	var call completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&call); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -165,18 +166,18 @@
 	for _, m := range call.Messages {
 		prompt += m.Content + " "
 	}
-	e.count(r.Header.Get(runworks.HeaderRequestID))
+	e.countDispatch(r.Header.Get(runworks.HeaderRequestID))
 	rank, _ := strconv.Atoi(r.Header.Get(runworks.HeaderRank))
 	if call.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	} else {
 		w.Header().Set("Content-Type", "application/json")
 	}
-	e.begin(r.Header.Get(runworks.HeaderRequestID), rank, prompt, &call, chat).serve(w, r, 0)
+	e.startJob(r.Header.Get(runworks.HeaderRequestID), rank, prompt, &call, chat).serve(w, r, 0)
 }
 
-// work does the whole work of a call; it is cancelled by ctx.
-func (e *Engine) work(ctx context.Context, j *job, rank int, prompt string, call *completionCall, chat bool) error {
+// run waits for a slot, prefills the prompt and writes the completion, until ctx ends.
+func (e *Engine) run(ctx context.Context, j *job, rank int, prompt string, call *completionRequest, chat bool) error {
 	if err := e.acquire(ctx, rank); err != nil {
 		return err
 	}
@@ -185,15 +186,15 @@
 	if !e.prefill(ctx, prompt, tokens) {
 		return ctx.Err()
 	}
-	answer := &engineAnswer{engine: e, out: j, chat: chat, call: call, words: CompletionWords(prompt, call.MaxTokens), prompt: tokens}
+	answer := &completionWriter{engine: e, out: j, chat: chat, call: call, words: CompletionWords(prompt, call.MaxTokens), promptTokens: tokens}
 	if !answer.write(ctx) {
-		e.throwAway(tokens)
+		e.addWasted(tokens)
 		return ctx.Err()
 	}
 	return nil
 }
 
-func (e *Engine) count(id string) {
+func (e *Engine) countDispatch(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stats.Dispatches == nil {
@@ -202,16 +203,16 @@
 	e.stats.Dispatches[id]++
 }
 
-func (e *Engine) throwAway(tokens int) {
+func (e *Engine) addWasted(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.WastedTokens += tokens
 }
 
-// prefill takes the time the prompt needs; false says that the call was cancelled.
+// prefill waits for the prefill time of an uncached prompt. It reports false if ctx ended first.
 func (e *Engine) prefill(ctx context.Context, prompt string, tokens int) bool {
 	e.mu.Lock()
-	cached := e.cachedLocked(prompt)
+	cached := e.checkCacheLocked(prompt)
 	if cached {
 		e.stats.CachedTokens += tokens
 	} else {
@@ -221,17 +222,18 @@
 	if cached {
 		return true
 	}
-	if !e.pause(ctx, float64(tokens), e.PrefillPerSecond) {
-		e.throwAway(tokens)
+	if !e.waitTokens(ctx, float64(tokens), e.PrefillPerSecond) {
+		e.addWasted(tokens)
 		return false
 	}
 	return true
 }
 
-// cachedLocked says whether the prompt is cached, and caches it.
-func (e *Engine) cachedLocked(prompt string) bool {
-	for _, one := range e.cache {
-		if one == prompt {
+// checkCacheLocked reports whether the prompt is cached, and adds it if not. The oldest prompt
+// is evicted first.
+func (e *Engine) checkCacheLocked(prompt string) bool {
+	for _, cachedPrompt := range e.cache {
+		if cachedPrompt == prompt {
 			return true
 		}
 	}
@@ -244,10 +246,10 @@
 	return false
 }
 
-// pause takes the time for tokens at a rate; false says that ctx ended first.
-func (e *Engine) pause(ctx context.Context, tokens, perSecond float64) bool {
+// waitTokens waits for the time that tokens take at a rate. It reports false if ctx ended first.
+func (e *Engine) waitTokens(ctx context.Context, tokens, perSecond float64) bool {
 	e.mu.Lock()
-	factor := e.slow
+	factor := e.slowdown
 	e.mu.Unlock()
 	if factor == 0 {
 		factor = 1
--- a/standin/engine_queue.go
+++ b/standin/engine_queue.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// acquire waits for a slot, by rank and then by arrival.
+// acquire waits for a slot. Lower ranks are served first, and equal ranks in order of arrival.
 func (e *Engine) acquire(ctx context.Context, rank int) error {
 	e.mu.Lock()
 	if e.running < e.Slots {
 		e.running++
-		e.reportLocked()
+		e.recordLoadLocked()
 		e.mu.Unlock()
 		return nil
 	}
 	e.seq++
-	me := &waiter{rank: rank, seq: e.seq, ready: make(chan struct{})}
-	heap.Push(&e.waiting, me)
-	e.reportLocked()
+	w := &waiter{rank: rank, seq: e.seq, ready: make(chan struct{})}
+	heap.Push(&e.waiting, w)
+	e.recordLoadLocked()
 	e.mu.Unlock()
 	select {
-	case <-me.ready:
+	case <-w.ready:
 		return nil
 	case <-ctx.Done():
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if me.given {
+		if w.granted {
 			e.releaseLocked()
 		}
-		me.gone = true
+		w.canceled = true
 		return ctx.Err()
 	}
 }
 
-// release gives a slot back.
+// release passes the slot to the first waiter, or frees it.
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -42,40 +42,40 @@
 }
 
 func (e *Engine) releaseLocked() {
-	defer e.reportLocked()
+	defer e.recordLoadLocked()
 	for e.waiting.Len() > 0 {
 		next, _ := heap.Pop(&e.waiting).(*waiter)
-		if next.gone {
+		if next.canceled {
 			continue
 		}
-		next.given = true
+		next.granted = true
 		close(next.ready)
 		return
 	}
 	e.running--
 }
 
-// maxReports bounds the load reports that are kept.
-const maxReports = 1000
+// maxLoadSamples bounds the load history that Report looks up.
+const maxLoadSamples = 1000
 
-func (e *Engine) reportLocked() {
+func (e *Engine) recordLoadLocked() {
 	load := Load{Name: e.Name, Running: e.running, Waiting: e.waiting.Len()}
-	e.reports = append(e.reports, report{at: time.Now(), load: load})
-	if len(e.reports) > maxReports {
-		e.reports = e.reports[1:]
+	e.loads = append(e.loads, loadSample{at: time.Now(), load: load})
+	if len(e.loads) > maxLoadSamples {
+		e.loads = e.loads[1:]
 	}
 }
 
-// waiter is a call that waits for a slot.
+// waiter is a call that waits for a slot. Its ready channel is closed when it gets one.
 type waiter struct {
-	rank  int
-	seq   int
-	ready chan struct{}
-	given bool
-	gone  bool
+	rank     int
+	seq      int
+	ready    chan struct{}
+	granted  bool
+	canceled bool
 }
 
-// waiters is a heap, by rank and then by arrival.
+// waiters is a heap ordered by rank, then by arrival.
 type waiters []*waiter
 
 func (h waiters) Len() int { return len(h) }
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -12,10 +12,10 @@
 	"github.com/runworks/runworks"
 )
 
-// Hosts is a stand-in for the platform's lagging host list. Set the exported
-// fields before use.
+// Hosts is a fake of the platform's host list, which lags behind its changes.
+// Exported fields must be set before use.
 type Hosts struct {
-	// Lag is how old the list is that readers get.
+	// Lag is the age of the list that readers receive.
 	Lag time.Duration
 
 	mu       sync.Mutex
@@ -27,53 +27,54 @@
 	hosts []runworks.Host
 }
 
-// Set replaces the list from now on.
+// Set replaces the list. Readers see it after Lag.
 func (h *Hosts) Set(hosts []runworks.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.versions = append(h.versions, hostsVersion{at: time.Now(), hosts: slices.Clone(hosts)})
 }
 
-// SetLag sets how old the list is that readers get from now on.
+// SetLag changes Lag.
 func (h *Hosts) SetLag(lag time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.Lag = lag
 }
 
-// Put adds a host, or replaces the one of its name.
+// Put adds a host, or replaces the host with the same name.
 func (h *Hosts) Put(host runworks.Host) {
-	h.change(func(hosts []runworks.Host) []runworks.Host {
+	h.update(func(hosts []runworks.Host) []runworks.Host {
 		hosts = slices.DeleteFunc(hosts, func(one runworks.Host) bool { return one.Name == host.Name })
 		return append(hosts, host)
 	})
 }
 
-// Remove takes a host off the list.
+// Remove removes a host from the list.
 func (h *Hosts) Remove(name string) {
-	h.change(func(hosts []runworks.Host) []runworks.Host {
+	h.update(func(hosts []runworks.Host) []runworks.Host {
 		return slices.DeleteFunc(hosts, func(one runworks.Host) bool { return one.Name == name })
 	})
 }
 
-func (h *Hosts) change(edit func([]runworks.Host) []runworks.Host) {
+func (h *Hosts) update(edit func([]runworks.Host) []runworks.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var now []runworks.Host
+	var current []runworks.Host
 	if n := len(h.versions); n > 0 {
-		now = slices.Clone(h.versions[n-1].hosts)
+		current = slices.Clone(h.versions[n-1].hosts)
 	}
-	h.versions = append(h.versions, hostsVersion{at: time.Now(), hosts: edit(now)})
+	h.versions = append(h.versions, hostsVersion{at: time.Now(), hosts: edit(current)})
 }
 
-// Hosts implements runworks.HostList: the list as it was Lag ago, or the first.
+// Hosts implements runworks.HostList. It returns the list of Lag ago, or the first one if none is
+// that old.
 func (h *Hosts) Hosts(_ context.Context) ([]runworks.Host, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old := time.Now().Add(-h.Lag)
+	cutoff := time.Now().Add(-h.Lag)
 	var out []runworks.Host
 	for i, v := range h.versions {
-		if i > 0 && v.at.After(old) {
+		if i > 0 && v.at.After(cutoff) {
 			break
 		}
 		out = v.hosts
@@ -81,7 +82,7 @@
 	return slices.Clone(out), nil
 }
 
-// Handler serves GET /hosts, PUT /hosts with one host, DELETE /hosts/{name} and
+// Handler returns a handler of GET /hosts, PUT /hosts with one host, DELETE /hosts/{name} and
 // POST /control?lag_ms=N.
 func (h *Hosts) Handler() http.Handler {
 	mux := http.NewServeMux()
@@ -101,7 +102,7 @@
 	mux.HandleFunc("POST /control", func(w http.ResponseWriter, r *http.Request) {
 		ms, err := strconv.Atoi(r.URL.Query().Get("lag_ms"))
 		if err != nil || ms < 0 {
-			http.Error(w, "lag_ms must be a number of milliseconds", http.StatusBadRequest)
+			http.Error(w, "lag_ms must be an integer of 0 or more", http.StatusBadRequest)
 			return
 		}
 		h.SetLag(time.Duration(ms) * time.Millisecond)
--- a/standin/job.go
+++ b/standin/job.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// resumeWithin is how long a call's work goes on without a reader.
-	resumeWithin = 2 * time.Second
-	// jobBytes bounds what is kept of one answer.
-	jobBytes = 16 << 20
+	// resumeTimeout is the time that a job runs without a reader before it is canceled.
+	resumeTimeout = 2 * time.Second
+	// maxJobBytes bounds the buffered bytes of one completion.
+	maxJobBytes = 16 << 20
 )
 
-// job is the work of one call, which outlives a broken connection for a while.
+// job is the execution of one call. It continues for resumeTimeout after its connection
+// broke, so that the caller can resume it.
 type job struct {
 	engine  *Engine
 	id      string
 	cancel  context.CancelFunc
 	answer  stream.Buffer
 	readers int
-	left    *time.Timer
+	expiry  *time.Timer
 }
 
-// begin starts the work of a call and keeps it by the request's id.
-func (e *Engine) begin(id string, rank int, prompt string, call *completionCall, chat bool) *job {
+// startJob runs a call in the background and registers it under its request ID.
+func (e *Engine) startJob(id string, rank int, prompt string, call *completionRequest, chat bool) *job {
 	ctx, cancel := context.WithCancel(context.Background())
-	j := &job{engine: e, id: id, cancel: cancel, answer: stream.Buffer{Limit: jobBytes}}
+	j := &job{engine: e, id: id, cancel: cancel, answer: stream.Buffer{Limit: maxJobBytes}}
 	e.mu.Lock()
 	if e.jobs == nil {
 		e.jobs = make(map[string]*job)
@@ -38,12 +39,12 @@
 	e.mu.Unlock()
 	go func() {
 		defer cancel()
-		j.answer.Close(e.work(ctx, j, rank, prompt, call, chat))
+		j.answer.Close(e.run(ctx, j, rank, prompt, call, chat))
 	}()
 	return j
 }
 
-// Write implements io.Writer for the answer.
+// Write implements io.Writer. It appends to the buffered completion.
 func (j *job) Write(p []byte) (int, error) {
 	if err := j.answer.Write(context.Background(), p); err != nil {
 		return 0, err
@@ -51,11 +52,11 @@
 	return len(p), nil
 }
 
-// serve sends the answer from an offset on. Without a reader the work is
-// cancelled after a while.
+// serve sends the completion from a byte offset on. The last reader to return starts the
+// resume timeout.
 func (j *job) serve(w http.ResponseWriter, r *http.Request, from int64) {
-	j.enter()
-	defer j.leave()
+	j.addReader()
+	defer j.removeReader()
 	flush := http.NewResponseController(w)
 	for {
 		p, end, err := j.answer.Next(r.Context(), from)
@@ -73,25 +74,25 @@
 	}
 }
 
-func (j *job) enter() {
+func (j *job) addReader() {
 	j.engine.mu.Lock()
 	defer j.engine.mu.Unlock()
 	j.readers++
-	if j.left != nil {
-		j.left.Stop()
+	if j.expiry != nil {
+		j.expiry.Stop()
 	}
 }
 
-func (j *job) leave() {
+func (j *job) removeReader() {
 	j.engine.mu.Lock()
 	defer j.engine.mu.Unlock()
 	j.readers--
 	if j.readers == 0 {
-		j.left = time.AfterFunc(resumeWithin, j.forget)
+		j.expiry = time.AfterFunc(resumeTimeout, j.expire)
 	}
 }
 
-func (j *job) forget() {
+func (j *job) expire() {
 	j.engine.mu.Lock()
 	defer j.engine.mu.Unlock()
 	if j.readers == 0 {
@@ -100,24 +101,24 @@
 	}
 }
 
-// resume serves the rest of an answer.
+// resume serves the remaining bytes of a completion.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil || from < 0 {
-		http.Error(w, "from must be an offset in bytes", http.StatusBadRequest)
+		http.Error(w, "from must be a byte offset of 0 or more", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	j := e.jobs[r.PathValue("id")]
 	e.mu.Unlock()
 	if j == nil {
-		http.Error(w, "no such request", http.StatusNotFound)
+		http.Error(w, "unknown request ID", http.StatusNotFound)
 		return
 	}
 	j.serve(w, r, from)
 }
 
-// cancel ends the work of a call.
+// cancel aborts the job of a request.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/log.go
+++ b/standin/log.go
@@ -16,30 +16,30 @@
 	"github.com/runworks/runworks"
 )
 
-// ErrOutage is what the log service answers in an outage.
-var ErrOutage = errorx.ExternalError.New("the log service is out")
+// ErrOutage is returned by all calls during a simulated outage.
+var ErrOutage = errorx.ExternalError.New("log service unavailable")
 
-// ErrLostResponse is an append whose answer was lost after it took effect.
-var ErrLostResponse = errorx.ExternalError.New("the answer was lost")
+// ErrLostResponse is returned by an append that took effect and whose response is lost.
+var ErrLostResponse = errorx.ExternalError.New("append response lost")
 
-const pageRecords = 100
+const maxPageRecords = 100
 
-// LogFaults are the log service's settable faults.
+// LogFaults are the faults that a Log simulates.
 type LogFaults struct {
-	// Outage makes every call fail.
+	// Outage makes every call fail with ErrOutage.
 	Outage bool `json:"outage"`
-	// LoseResponses makes that many appends take effect and answer with an error.
+	// LoseResponses is the number of appends that take effect and return ErrLostResponse.
 	LoseResponses int `json:"lose_answers"`
-	// LatencyMS delays every call, in milliseconds.
+	// LatencyMS is the delay of every call in milliseconds.
 	LatencyMS int `json:"latency_ms"`
 }
 
-// Log is a stand-in for the platform's log service. Set the exported fields
+// Log is a fake of the platform's log service. Exported fields must be set
 // before use.
 type Log struct {
-	// AppendsPerSecond bounds the appends; 0 is no bound.
+	// AppendsPerSecond limits the rate of appends; 0 sets no limit.
 	AppendsPerSecond float64
-	// Retain is how long a record is kept; 0 keeps it for good.
+	// Retain is the retention period of a record; 0 retains all records.
 	Retain time.Duration
 
 	mu      sync.Mutex
@@ -49,25 +49,25 @@
 	limiter *rate.Limiter
 }
 
-// logRecord is a record with the time it was appended at.
+// logRecord is a record with the time of its append.
 type logRecord struct {
 	at   time.Time
 	data []byte
 }
 
-// SetFaults sets the faults from now on.
+// SetFaults replaces the simulated faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Append implements runworks.LogService.
+// Append implements runworks.LogService. It waits if AppendsPerSecond is exceeded.
 func (l *Log) Append(ctx context.Context, data []byte) (int64, error) {
-	if err := l.before(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return 0, err
 	}
-	if err := l.turn(ctx); err != nil {
+	if err := l.waitAppendRate(ctx); err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
@@ -81,34 +81,35 @@
 	return offset, nil
 }
 
-// dropLocked removes the records whose time is over.
-func (l *Log) dropLocked() {
+// dropExpiredLocked removes the records older than Retain.
+func (l *Log) dropExpiredLocked() {
 	for l.Retain > 0 && len(l.records) > 0 && time.Since(l.records[0].at) > l.Retain {
 		l.records = l.records[1:]
 		l.first++
 	}
 }
 
-// Read implements runworks.LogService.
+// Read implements runworks.LogService. It returns runworks.ErrTruncated with an empty page if from
+// is no longer retained.
 func (l *Log) Read(ctx context.Context, from int64) (*runworks.LogPage, error) {
-	if err := l.before(ctx); err != nil {
+	if err := l.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dropLocked()
+	l.dropExpiredLocked()
 	page := &runworks.LogPage{First: l.first, Next: l.first + int64(len(l.records))}
 	if from < l.first {
 		return page, runworks.ErrTruncated
 	}
-	for at := from; at < page.Next && len(page.Records) < pageRecords; at++ {
+	for at := from; at < page.Next && len(page.Records) < maxPageRecords; at++ {
 		page.Records = append(page.Records, runworks.LogRecord{Offset: at, Data: l.records[at-l.first].data})
 	}
 	return page, nil
 }
 
-// before takes the latency and the outage.
-func (l *Log) before(ctx context.Context) error {
+// applyFaults simulates the latency and the outage.
+func (l *Log) applyFaults(ctx context.Context) error {
 	l.mu.Lock()
 	f := l.faults
 	l.mu.Unlock()
@@ -121,8 +122,8 @@
 	return nil
 }
 
-// turn waits for a turn at the rate of appends.
-func (l *Log) turn(ctx context.Context) error {
+// waitAppendRate delays an append to keep within AppendsPerSecond.
+func (l *Log) waitAppendRate(ctx context.Context) error {
 	if l.AppendsPerSecond <= 0 {
 		return nil
 	}
@@ -135,8 +136,8 @@
 	return limiter.Wait(ctx)
 }
 
-// Handler serves the log as docs/platform-log.md describes, and POST /control
-// with Faults as JSON.
+// Handler returns a handler of the protocol in docs/platform-log.md, and of
+// POST /control with LogFaults as JSON.
 func (l *Log) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /records", l.serveAppend)
@@ -168,7 +169,7 @@
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil || from < 0 {
-		http.Error(w, "from must be an offset", http.StatusBadRequest)
+		http.Error(w, "from must be an offset of 0 or more", http.StatusBadRequest)
 		return
 	}
 	page, err := l.Read(r.Context(), from)
--- a/standin/memnet/conn.go
+++ b/standin/memnet/conn.go
@@ -5,37 +5,37 @@
 	"sync"
 )
 
-// memConn is one end of a wire, with its addresses.
-type memConn struct {
+// conn is one end of a link, with its addresses.
+type conn struct {
 	net.Conn
-	local, remote memAddr
+	local, remote addr
 }
 
 // LocalAddr implements net.Conn.
-func (c *memConn) LocalAddr() net.Addr { return c.local }
+func (c *conn) LocalAddr() net.Addr { return c.local }
 
 // RemoteAddr implements net.Conn.
-func (c *memConn) RemoteAddr() net.Addr { return c.remote }
+func (c *conn) RemoteAddr() net.Addr { return c.remote }
 
-type memAddr string
+type addr string
 
 // Network implements net.Addr.
-func (memAddr) Network() string { return "mem" }
+func (addr) Network() string { return "mem" }
 
 // String implements net.Addr.
-func (a memAddr) String() string { return string(a) }
+func (a addr) String() string { return string(a) }
 
-// memListener is a listener of a memnet.
-type memListener struct {
+// listener implements net.Listener on a Network.
+type listener struct {
 	net     *Network
-	address memAddr
+	address addr
 	queue   chan net.Conn
 	once    sync.Once
 	closed  chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l *memListener) Accept() (net.Conn, error) {
+func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.queue:
 		return c, nil
@@ -45,7 +45,7 @@
 }
 
 // Close implements net.Listener.
-func (l *memListener) Close() error {
+func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
 		l.net.mu.Lock()
@@ -56,4 +56,4 @@
 }
 
 // Addr implements net.Listener.
-func (l *memListener) Addr() net.Addr { return l.address }
+func (l *listener) Addr() net.Addr { return l.address }
--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network in memory, for runs in virtual time: connections
-// have a latency, and can be cut, mended and reset between any two hosts.
+// Package memnet implements an in-memory network for tests in virtual time. Connections
+// have a latency; any two hosts can be partitioned, healed, and their connections reset.
 package memnet
 
 import (
@@ -15,21 +15,21 @@
 	errReset   = errors.New("memnet: connection reset")
 )
 
-// Network is a network in memory. An address is host:port; what is cut between
-// two hosts waits until the cut is mended, as TCP does.
+// Network is an in-memory network with addresses of the form host:port. Data between
+// partitioned hosts is delayed until the partition heals, as TCP does.
 type Network struct {
 	latency time.Duration
 
-	mu        sync.Mutex
-	listeners map[string]*memListener
-	wires     map[*wire]struct{}
-	cuts      map[[2]string]chan struct{}
+	mu         sync.Mutex
+	listeners  map[string]*listener
+	links      map[*link]struct{}
+	partitions map[[2]string]chan struct{}
 }
 
-// New builds a network whose messages take the latency.
+// New returns a network that delivers data after latency.
 func New(latency time.Duration) *Network {
 	return &Network{
-		latency: latency, listeners: map[string]*memListener{}, wires: map[*wire]struct{}{}, cuts: map[[2]string]chan struct{}{},
+		latency: latency, listeners: map[string]*listener{}, links: map[*link]struct{}{}, partitions: map[[2]string]chan struct{}{},
 	}
 }
 
@@ -38,31 +38,32 @@
 	return host
 }
 
-func pair(a, b string) [2]string {
+func hostPair(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
 	}
 	return [2]string{a, b}
 }
 
-// Listen opens a listener at an address.
+// Listen returns a listener on an address, or an error if the address is in use.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[address] != nil {
 		return nil, errors.New("memnet: address in use: " + address)
 	}
-	l := &memListener{net: n, address: memAddr(address), queue: make(chan net.Conn), closed: make(chan struct{})}
+	l := &listener{net: n, address: addr(address), queue: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
 
-// Dialer gives the way out of a host.
+// Dialer returns a dial function for the connections of a host, as in http.Transport.DialContext.
 func (n *Network) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) { return n.Dial(ctx, from, address) }
 }
 
-// Dial opens a connection from a host to an address.
+// Dial opens a connection from a host to an address. It waits while the two are partitioned, and
+// returns an error if nothing listens there or ctx ends.
 func (n *Network) Dial(ctx context.Context, from, address string) (net.Conn, error) {
 	if err := n.WaitReachable(ctx, from, hostOf(address)); err != nil {
 		return nil, err
@@ -73,60 +74,60 @@
 	if l == nil {
 		return nil, errRefused
 	}
-	near, far := n.wire(from, hostOf(address))
+	local, remote := n.newLink(from, hostOf(address))
 	select {
-	case l.queue <- far:
-		return near, nil
+	case l.queue <- remote:
+		return local, nil
 	case <-l.closed:
 	case <-ctx.Done():
 	}
-	_ = near.Close()
-	_ = far.Close()
+	_ = local.Close()
+	_ = remote.Close()
 	return nil, errRefused
 }
 
-// WaitReachable waits while two hosts are cut off from each other.
+// WaitReachable waits while two hosts are partitioned. It returns the cause of ctx if it ends first.
 func (n *Network) WaitReachable(ctx context.Context, a, b string) error {
 	for {
 		n.mu.Lock()
-		mended := n.cuts[pair(a, b)]
+		healed := n.partitions[hostPair(a, b)]
 		n.mu.Unlock()
-		if mended == nil {
+		if healed == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
-		case <-mended:
+		case <-healed:
 		}
 	}
 }
 
-// Partition holds up all that travels between two hosts until mend.
+// Partition delays all data between two hosts until Heal.
 func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts[pair(a, b)] == nil {
-		n.cuts[pair(a, b)] = make(chan struct{})
+	if n.partitions[hostPair(a, b)] == nil {
+		n.partitions[hostPair(a, b)] = make(chan struct{})
 	}
 }
 
-// Heal ends a cut.
+// Heal ends a partition.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if mended := n.cuts[pair(a, b)]; mended != nil {
-		close(mended)
-		delete(n.cuts, pair(a, b))
+	if healed := n.partitions[hostPair(a, b)]; healed != nil {
+		close(healed)
+		delete(n.partitions, hostPair(a, b))
 	}
 }
 
-// Reset breaks all connections between two hosts; b may be empty for all hosts.
+// Reset resets all connections between two hosts, or all connections of a if b is empty.
 func (n *Network) Reset(a, b string) {
 	n.mu.Lock()
-	var broken []*wire
-	for w := range n.wires {
-		if w.ends == pair(a, b) || b == "" && (w.ends[0] == a || w.ends[1] == a) {
+	var broken []*link
+	for w := range n.links {
+		if w.hosts == hostPair(a, b) || b == "" && (w.hosts[0] == a || w.hosts[1] == a) {
 			broken = append(broken, w)
 		}
 	}
@@ -146,11 +147,11 @@
 	}
 }
 
-// Close breaks all connections.
+// Close resets all connections.
 func (n *Network) Close() {
 	n.mu.Lock()
-	all := make([]*wire, 0, len(n.wires))
-	for w := range n.wires {
+	all := make([]*link, 0, len(n.links))
+	for w := range n.links {
 		all = append(all, w)
 	}
 	n.mu.Unlock()
@@ -160,60 +161,60 @@
 }
 
 const (
-	// maxParcels bounds what is on its way in one direction.
-	maxParcels  = 4096
-	parcelBytes = 32 << 10
+	// maxQueued bounds the packets in flight in one direction.
+	maxQueued   = 4096
+	packetBytes = 32 << 10
 )
 
-// wire is a connection: two pipes with a queue for each direction between them.
-type wire struct {
-	net   *Network
-	ends  [2]string
-	inner [2]net.Conn
-	ctx   context.Context
-	stop  context.CancelCauseFunc
+// link is a connection: two pipes with a queue between them for each direction.
+type link struct {
+	net    *Network
+	hosts  [2]string
+	inner  [2]net.Conn
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 }
 
-// wire makes a connection and gives its two ends.
-func (n *Network) wire(from, to string) (near, far net.Conn) {
-	near, nearInner := net.Pipe()
-	far, farInner := net.Pipe()
+// newLink opens a connection and returns its two ends.
+func (n *Network) newLink(from, to string) (local, remote net.Conn) {
+	local, localInner := net.Pipe()
+	remote, remoteInner := net.Pipe()
 	ctx, stop := context.WithCancelCause(context.Background())
-	w := &wire{net: n, ends: pair(from, to), inner: [2]net.Conn{nearInner, farInner}, ctx: ctx, stop: stop}
+	w := &link{net: n, hosts: hostPair(from, to), inner: [2]net.Conn{localInner, remoteInner}, ctx: ctx, cancel: stop}
 	n.mu.Lock()
-	n.wires[w] = struct{}{}
+	n.links[w] = struct{}{}
 	n.mu.Unlock()
-	w.carry(nearInner, farInner)
-	w.carry(farInner, nearInner)
-	return &memConn{Conn: near, local: memAddr(from + ":0"), remote: memAddr(to + ":0")},
-		&memConn{Conn: far, local: memAddr(to + ":0"), remote: memAddr(from + ":0")}
+	w.forward(localInner, remoteInner)
+	w.forward(remoteInner, localInner)
+	return &conn{Conn: local, local: addr(from + ":0"), remote: addr(to + ":0")},
+		&conn{Conn: remote, local: addr(to + ":0"), remote: addr(from + ":0")}
 }
 
-func (w *wire) close() {
-	w.stop(errReset)
+func (w *link) close() {
+	w.cancel(errReset)
 	_ = w.inner[0].Close()
 	_ = w.inner[1].Close()
 	w.net.mu.Lock()
-	delete(w.net.wires, w)
+	delete(w.net.links, w)
 	w.net.mu.Unlock()
 }
 
-type parcel struct {
+type packet struct {
 	data []byte
 	due  time.Time
 	err  error
 }
 
-// carry takes bytes from one end to the other, after the latency and any cut.
-// The end of one end reaches the other as bytes do.
-func (w *wire) carry(from, to net.Conn) {
-	queue := make(chan parcel, maxParcels)
+// forward copies data from one end to the other, after the latency and any partition.
+// The close of one end is delivered in order with its data.
+func (w *link) forward(from, to net.Conn) {
+	queue := make(chan packet, maxQueued)
 	go func() {
 		for {
-			p := make([]byte, parcelBytes)
+			p := make([]byte, packetBytes)
 			k, err := from.Read(p)
 			select {
-			case queue <- parcel{data: p[:k], due: time.Now().Add(w.net.latency), err: err}:
+			case queue <- packet{data: p[:k], due: time.Now().Add(w.net.latency), err: err}:
 			case <-w.ctx.Done():
 				return
 			}
@@ -237,14 +238,14 @@
 	}()
 }
 
-// deliver hands a parcel over when it is due; false ends the connection.
-func (w *wire) deliver(to net.Conn, p parcel) bool {
-	// A wait of no time is left out: under -race, two goroutines of one bubble
-	// that find a timer's channel due at once crash the race detector (Go 1.26).
+// deliver writes a packet when it is due. It reports false if the connection is to be closed.
+func (w *link) deliver(to net.Conn, p packet) bool {
+	// Do not sleep for zero time: under -race, two goroutines of one synctest bubble
+	// whose timers are due at once crash the race detector (Go 1.26).
 	if d := time.Until(p.due); d > 0 {
 		time.Sleep(d)
 	}
-	if err := w.net.WaitReachable(w.ctx, w.ends[0], w.ends[1]); err != nil {
+	if err := w.net.WaitReachable(w.ctx, w.hosts[0], w.hosts[1]); err != nil {
 		return false
 	}
 	if len(p.data) > 0 {
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,26 +10,26 @@
 	"github.com/runworks/runworks"
 )
 
-// PlainService is a stand-in for a plain service: it says back what it was sent. Set
-// the exported fields before use.
+// PlainService is a fake plain service that echoes its requests. Exported fields must
+// be set before use.
 type PlainService struct {
-	// Delay is how long a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
 
-	mu     sync.Mutex
-	calls  map[string]int
-	broken bool
+	mu         sync.Mutex
+	calls      map[string]int
+	abortCalls bool
 }
 
-// Echo is the answer of the plain service.
+// Echo is the response of PlainService.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 }
 
-// Handler answers every path with an Echo, and GET /stats with the calls by
-// request id.
+// Handler returns a handler that responds to every path with an Echo, and to GET /stats
+// with the number of calls by request ID.
 func (p *PlainService) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Calls()) })
@@ -37,7 +37,7 @@
 	return mux
 }
 
-// Calls gives the number of calls by request id.
+// Calls returns the number of calls by request ID.
 func (p *PlainService) Calls() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,11 +48,11 @@
 	return out
 }
 
-// SetAbortCalls makes every call break after it has arrived.
+// SetAbortCalls sets whether calls are aborted without a response after their body was read.
 func (p *PlainService) SetAbortCalls(broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.broken = broken
+	p.abortCalls = broken
 }
 
 func (p *PlainService) echo(w http.ResponseWriter, r *http.Request) {
@@ -65,7 +65,7 @@
 		p.calls = make(map[string]int)
 	}
 	p.calls[r.Header.Get(runworks.HeaderRequestID)]++
-	broken := p.broken
+	broken := p.abortCalls
 	p.mu.Unlock()
 	if broken {
 		panic(http.ErrAbortHandler)
@@ -76,7 +76,7 @@
 	writeJSON(w, Echo{Method: r.Method, Path: r.URL.RequestURI(), Body: string(body)})
 }
 
-// wait waits for d; false says that ctx ended first.
+// wait waits for d. It reports false if ctx ended first.
 func wait(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/standin/routed.go
+++ b/standin/routed.go
@@ -14,101 +14,101 @@
 	"github.com/runworks/runworks/modules/pause"
 )
 
-// The headers between a front and a backend server of the users' platform.
+// Headers between a front and a backend server of the platform.
 const (
 	HeaderRoutedID        = "X-Request-Id"
 	HeaderRoutedSignature = "X-Response-Signature"
-	routedInstance        = "X-Expect-Instance"
-	routedNotRun          = "X-Not-Executed"
-	routedCustomer        = "X-Tenant-Id"
-	routedTimeout         = "X-Timeout-Ms"
-	routedLimit           = "Server-Limit"
-	// HeaderRoutedDraining is 1 in the answers of a server that will end.
+	headerInstance        = "X-Expect-Instance"
+	headerNotExecuted     = "X-Not-Executed"
+	headerCustomer        = "X-Tenant-Id"
+	headerTimeout         = "X-Timeout-Ms"
+	headerLimit           = "Server-Limit"
+	// HeaderRoutedDraining is 1 in the responses of a draining server.
 	HeaderRoutedDraining = "Server-Leaving"
-	routedRest           = "Retry-After"
+	headerRetryAfter     = "Retry-After"
 )
 
-// RoutedCall is a call that a Routed server ran.
+// RoutedCall is a call that a RoutedServer executed.
 type RoutedCall struct {
 	ID, Method, Target, Customer, LastEvent string
 	Header                                  http.Header
 	Body                                    []byte
 }
 
-// RoutedArrival is a call that came to a Routed server, also one that did not run.
+// RoutedArrival is a call that a RoutedServer received, executed or not.
 type RoutedArrival struct {
 	ID string    `json:"id"`
 	At time.Time `json:"at"`
-	// Backoff is for how many seconds the call's front was asked to send nothing; 0 if the call
-	// was not turned away so.
+	// Backoff is the back-off in seconds that the server asked the front for; 0 if the call was
+	// not rejected for back-off.
 	Backoff float64 `json:"rest,omitempty"`
-	// Misdirected says that it was meant for another life, and was answered so.
+	// Misdirected reports whether the call was addressed to another incarnation and got status 421.
 	Misdirected bool `json:"misdirected,omitempty"`
 }
 
-// RoutedServer is a stand-in for a backend server of the users' platform. Set the
-// exported fields before use.
+// RoutedServer is a fake backend server of the platform. Exported fields must be set
+// before use.
 type RoutedServer struct {
-	// Instance is the id of its life.
+	// Instance is the incarnation ID.
 	Instance string
-	// Delay is how long a call runs before its answer, or between two events.
+	// Delay is the time before the response, or before each event of a stream.
 	Delay time.Duration
-	// OnCall, unless nil, is told of each call that runs, before it does.
+	// OnCall, unless nil, is called with each call before it is executed.
 	OnCall func(RoutedCall)
-	// Hold, unless nil, keeps every call running until it is closed.
+	// Hold, unless nil, blocks every call until it is closed.
 	Hold <-chan struct{}
 
 	mu     sync.Mutex
 	faults RoutedFaults
 	calls  []RoutedCall
-	// arrivals are all calls that came, also those that did not run.
-	arrivals []RoutedArrival
-	active   int
-	most     int
+	// arrivals includes calls that were not executed.
+	arrivals  []RoutedArrival
+	active    int
+	maxActive int
 }
 
-// Calls gives the calls that were run, in their order.
+// Calls returns the executed calls in order of arrival.
 func (b *RoutedServer) Calls() []RoutedCall {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]RoutedCall(nil), b.calls...)
 }
 
-// Arrivals gives the calls that came, also those that did not run, in their order.
+// Arrivals returns all received calls, executed or not, in order of arrival.
 func (b *RoutedServer) Arrivals() []RoutedArrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]RoutedArrival(nil), b.arrivals...)
 }
 
-// MaxActive gives the most calls that ran at once.
+// MaxActive returns the highest number of concurrent calls so far.
 func (b *RoutedServer) MaxActive() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.most
+	return b.maxActive
 }
 
-// Active gives how many calls run now.
+// Active returns the number of calls in execution.
 func (b *RoutedServer) Active() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.active
 }
 
-// RoutedResponseBody is the body that a call without events gets, a function of the
+// RoutedResponseBody returns the response body of a call without events. It depends on the
 // request alone.
 func RoutedResponseBody(id, method, target string, body []byte) []byte {
 	sum := sha256.Sum256(body)
 	return fmt.Appendf(nil, "%s %s %s %s\n", id, method, target, hex.EncodeToString(sum[:]))
 }
 
-// RoutedEvent is the event of a number, from 1, of a stream.
+// RoutedEvent returns event n of a stream, counted from 1.
 func RoutedEvent(target string, n int) []byte {
 	return fmt.Appendf(nil, "id: %d\ndata: %s %d\n\n", n, target, n)
 }
 
-// Handler serves calls, the ones that ran at GET /calls, when calls came at GET /arrivals,
-// and faults at POST /control.
+// Handler returns a handler of calls, with the executed calls at GET /calls, all received calls
+// at GET /arrivals, and the faults at POST /control.
 func (b *RoutedServer) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
@@ -129,33 +129,33 @@
 	})
 }
 
-// ServeHTTP implements http.Handler. A call whose query has events=N is answered
-// by a stream of N events.
+// ServeHTTP implements http.Handler. The response to a call with events=N in its query is
+// a stream of N events.
 func (b *RoutedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	w.Header().Set(HeaderRoutedID, r.Header.Get(HeaderRoutedID))
-	arrived := b.arrive(w, r)
-	if arrived.Misdirected {
+	arrival := b.recordArrival(w, r)
+	if arrival.Misdirected {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	b.mu.Lock()
-	if arrived.Backoff > 0 || b.spend(&b.faults.Reject) {
+	if arrival.Backoff > 0 || b.consume(&b.faults.Reject) {
 		b.mu.Unlock()
-		w.Header().Set(routedNotRun, "1")
+		w.Header().Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	call := RoutedCall{
-		ID: r.Header.Get(HeaderRoutedID), Method: r.Method, Target: r.RequestURI, Customer: r.Header.Get(routedCustomer),
+		ID: r.Header.Get(HeaderRoutedID), Method: r.Method, Target: r.RequestURI, Customer: r.Header.Get(headerCustomer),
 		LastEvent: r.Header.Get("Last-Event-Id"), Header: r.Header.Clone(), Body: body,
 	}
 	b.calls = append(b.calls, call)
 	b.active++
-	b.most = max(b.most, b.active)
+	b.maxActive = max(b.maxActive, b.active)
 	b.mu.Unlock()
 	if b.OnCall != nil {
 		b.OnCall(call)
@@ -172,34 +172,34 @@
 			return
 		}
 	}
-	b.answer(w, r, body)
+	b.respond(w, r, body)
 }
 
-// arrive notes that a call came, and puts what the server says of itself in its answer.
-func (b *RoutedServer) arrive(w http.ResponseWriter, r *http.Request) RoutedArrival {
+// recordArrival records a received call and sets the headers of the server report.
+func (b *RoutedServer) recordArrival(w http.ResponseWriter, r *http.Request) RoutedArrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	one := RoutedArrival{ID: r.Header.Get(HeaderRoutedID), At: time.Now(), Backoff: b.faults.Backoff}
-	if want := r.Header.Get(routedInstance); want != "" && want != b.Instance {
-		one.Backoff, one.Misdirected = 0, true
+	arrival := RoutedArrival{ID: r.Header.Get(HeaderRoutedID), At: time.Now(), Backoff: b.faults.Backoff}
+	if want := r.Header.Get(headerInstance); want != "" && want != b.Instance {
+		arrival.Backoff, arrival.Misdirected = 0, true
 	}
-	b.arrivals = append(b.arrivals, one)
+	b.arrivals = append(b.arrivals, arrival)
 	if b.faults.Limit != "" {
-		w.Header().Set(routedLimit, b.faults.Limit)
+		w.Header().Set(headerLimit, b.faults.Limit)
 	}
 	if b.faults.Draining {
 		w.Header().Set(HeaderRoutedDraining, "1")
 	}
-	if one.Backoff > 0 {
-		w.Header().Set(routedRest, strconv.FormatFloat(one.Backoff, 'f', -1, 64))
+	if arrival.Backoff > 0 {
+		w.Header().Set(headerRetryAfter, strconv.FormatFloat(arrival.Backoff, 'f', -1, 64))
 	}
-	return one
+	return arrival
 }
 
-// answer gives the answer to a call, with the faults that hit it.
-func (b *RoutedServer) answer(w http.ResponseWriter, r *http.Request, body []byte) {
+// respond writes the response to a call, with the faults that apply to it.
+func (b *RoutedServer) respond(w http.ResponseWriter, r *http.Request, body []byte) {
 	if n, err := strconv.Atoi(r.URL.Query().Get("events")); err == nil {
-		b.stream(w, r, n)
+		b.streamEvents(w, r, n)
 		return
 	}
 	if !waitFor(r, b.Delay) {
@@ -208,11 +208,11 @@
 	id := r.Header.Get(HeaderRoutedID)
 	data := RoutedResponseBody(id, r.Method, r.RequestURI, body)
 	b.mu.Lock()
-	reset, unframed, surplus, fail := b.spend(&b.faults.Reset), false, false, false
+	reset, unframed, unsolicited, fail := b.consume(&b.faults.Reset), false, false, false
 	if !reset {
-		unframed = b.spend(&b.faults.Unframed)
-		surplus = !unframed && b.spend(&b.faults.Unsolicited)
-		fail = !unframed && !surplus && b.spend(&b.faults.Fail)
+		unframed = b.consume(&b.faults.Unframed)
+		unsolicited = !unframed && b.consume(&b.faults.Unsolicited)
+		fail = !unframed && !unsolicited && b.consume(&b.faults.Fail)
 	}
 	b.mu.Unlock()
 	switch {
@@ -221,8 +221,8 @@
 	case unframed:
 		head := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\nConnection: close\r\n\r\n", HeaderRoutedID, id)
 		resetConn(w, append(head, data[:len(data)/2]...))
-	case surplus:
-		b.surplus(w, id, data)
+	case unsolicited:
+		b.sendUnsolicited(w, id, data)
 	case fail:
 		w.WriteHeader(http.StatusInternalServerError)
 	default:
@@ -236,8 +236,8 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// stream sends events from the one behind Last-Event-Id on.
-func (b *RoutedServer) stream(w http.ResponseWriter, r *http.Request, events int) {
+// streamEvents sends the events after Last-Event-Id.
+func (b *RoutedServer) streamEvents(w http.ResponseWriter, r *http.Request, events int) {
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(HeaderRoutedSignature, b.Instance)
@@ -248,7 +248,7 @@
 			return
 		}
 		event := RoutedEvent(r.RequestURI, n)
-		if b.breaks(n) {
+		if b.consumeBreak(n) {
 			_, _ = w.Write(event[:len(event)/2])
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
@@ -258,7 +258,7 @@
 	}
 }
 
-// waitFor waits for d; false says that the caller left.
+// waitFor waits for d. It reports false if the caller disconnected.
 func waitFor(r *http.Request, d time.Duration) bool {
 	pause.For(r.Context(), d)
 	return r.Context().Err() == nil
--- a/standin/routed_faults.go
+++ b/standin/routed_faults.go
@@ -7,43 +7,44 @@
 	"net/http"
 )
 
-// RoutedFaults are the settable faults of a Routed server; each but what the server says of
-// itself is used up by the calls that it hits.
+// RoutedFaults are the faults that a RoutedServer simulates. Each call that a fault applies to
+// decrements its count; Limit, Draining and Backoff, the server report, apply until changed.
 type RoutedFaults struct {
-	// Reject answers that many calls with the word that they were not run.
+	// Reject is the number of calls rejected with status 503 and X-Not-Executed.
 	Reject int `json:"turn_away"`
-	// Unsolicited sends, before that many answers, one that belongs to no request.
+	// Unsolicited is the number of responses that are preceded by one that matches no request.
 	Unsolicited int `json:"surplus"`
-	// Reset runs that many calls and resets their connections without an answer.
+	// Reset is the number of calls that are executed and whose connection is reset without a
+	// response.
 	Reset int `json:"reset"`
-	// Unframed sends that many answers without a length and resets the connection
-	// in their middle.
+	// Unframed is the number of responses sent without a length, with a connection reset in
+	// the middle of the body.
 	Unframed int `json:"unframed"`
-	// Fail runs that many calls and answers 500.
+	// Fail is the number of calls that are executed and get status 500.
 	Fail int `json:"fail"`
-	// BreakAt, unless zero, resets streams inside the event of that number.
+	// BreakAt, unless 0, is the number of the event in whose middle streams are aborted.
 	BreakAt int `json:"break_at"`
-	// Breaks bounds how many streams BreakAt hits.
+	// Breaks is the number of streams that BreakAt applies to.
 	Breaks int `json:"breaks"`
-	// Limit, unless empty, is what each answer names as its limit, in requests a second from
-	// all fronts together. Nothing is turned away for it.
+	// Limit, unless empty, is the reported rate limit in requests per second, from all fronts
+	// together. The server does not enforce it.
 	Limit string `json:"limit"`
-	// Draining has each answer say that the server will end.
+	// Draining reports in each response that the server is draining.
 	Draining bool `json:"leaving"`
-	// Backoff, unless zero, turns each call away, and asks its front to send nothing for so many
+	// Backoff, unless 0, rejects each call and asks its front for a back-off of that many
 	// seconds.
 	Backoff float64 `json:"rest"`
 }
 
-// SetFaults sets the faults from now on.
+// SetFaults replaces the simulated faults.
 func (b *RoutedServer) SetFaults(f RoutedFaults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
 }
 
-// spend uses a fault up.
-func (b *RoutedServer) spend(n *int) bool {
+// consume decrements the count of a fault and reports whether it was above 0.
+func (b *RoutedServer) consume(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
@@ -51,8 +52,8 @@
 	return true
 }
 
-// surplus sends an answer to nobody's request, and then the right one.
-func (b *RoutedServer) surplus(w http.ResponseWriter, id string, data []byte) {
+// sendUnsolicited sends a response that matches no request, then the expected one.
+func (b *RoutedServer) sendUnsolicited(w http.ResponseWriter, id string, data []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -65,7 +66,7 @@
 	_, _ = conn.Write(out.Bytes())
 }
 
-// resetConn writes what is given and resets the connection.
+// resetConn writes data and resets the connection.
 func resetConn(w http.ResponseWriter, data []byte) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -78,9 +79,9 @@
 	_ = conn.Close()
 }
 
-// breaks says whether a stream breaks inside an event.
-func (b *RoutedServer) breaks(n int) bool {
+// consumeBreak reports whether to abort a stream inside event n, and counts it.
+func (b *RoutedServer) consumeBreak(n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.faults.BreakAt == n && b.spend(&b.faults.Breaks)
+	return b.faults.BreakAt == n && b.consume(&b.faults.Breaks)
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -9,35 +9,37 @@
 	"github.com/runworks/runworks/modules/notify"
 )
 
-// StoreFaults are the store's settable faults.
+// StoreFaults are the faults that a Store simulates.
 type StoreFaults struct {
-	// Down answers every call with 503.
+	// Down responds to every call with status 503.
 	Down bool `json:"down"`
-	// Unresponsive answers no call, nor those that wait; they get no answer later either.
+	// Unresponsive makes all calls hang, also reads that wait already. These get no response
+	// after the fault is cleared either.
 	Unresponsive bool `json:"silent"`
-	// LoseResponses makes that many appends take effect and cuts their connections.
+	// LoseResponses is the number of appends that take effect and whose connection is aborted.
 	LoseResponses int `json:"lose_answers"`
-	// SkipWakeups makes that many appends wake no read that waits.
+	// SkipWakeups is the number of appends that do not wake waiting reads.
 	SkipWakeups int `json:"miss_wakes"`
 }
 
-// Store is a stand-in for the platform's store: keyed topics of one partition.
-// The zero value is ready.
+// Store is a fake of the platform's store: keyed topics with one partition each.
+// The zero value is ready to use.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
 	faults StoreFaults
-	// silences is how often the store fell silent.
-	silences int
-	changed  notify.Change
-	calls    map[string]int
-	// returns is how often the store came back from a copy, and copied the copy.
-	returns int64
-	copied  map[string]*topic
+	// hangs counts the changes to Unresponsive. A read that waited across one gets no
+	// response.
+	hangs   int
+	changed notify.Change
+	calls   map[string]int
+	// restores counts the calls of Restore, and snapshot is what it goes back to.
+	restores int64
+	snapshot map[string]*topic
 }
 
 type topic struct {
-	// first is the first offset retained.
+	// first is the first retained offset.
 	first   int64
 	records [][]byte
 	newest  map[string]newestRecord
@@ -48,32 +50,32 @@
 	offset int64
 }
 
-// SetFaults sets the faults from now on.
+// SetFaults replaces the simulated faults.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.Unresponsive && !s.faults.Unresponsive {
-		s.silences++
+		s.hangs++
 		s.changed.Signal()
 	}
 	s.faults = f
 }
 
-// Calls gives how often a path was called.
+// Calls returns the number of calls of a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Put appends a record, as the platform itself does; an empty value drops the key.
+// Put appends a record as the platform does. An empty value deletes the key.
 func (s *Store) Put(name, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appendLocked(name, append(append([]byte{byte(len(key))}, key...), value...))
 }
 
-// Truncate drops the history of a topic; the newest records stay.
+// Truncate drops the log of a topic. The newest record of each key is retained.
 func (s *Store) Truncate(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,25 +85,25 @@
 	s.changed.Signal()
 }
 
-// Snapshot keeps a copy of all topics as they stand.
+// Snapshot saves a copy of all topics for Restore.
 func (s *Store) Snapshot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.copied = cloneTopics(s.topics)
+	s.snapshot = cloneTopics(s.topics)
 }
 
-// Restore goes back to the last copy: what was written since is gone, and its offsets are given
-// out again. Without a copy the store is empty.
+// Restore reverts the store to the last snapshot. Later writes are lost and their offsets are
+// assigned again. Without a snapshot the store becomes empty.
 func (s *Store) Restore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.topics = cloneTopics(s.copied)
-	s.returns++
+	s.topics = cloneTopics(s.snapshot)
+	s.restores++
 	s.changed.Signal()
 }
 
-// eraLocked numbers the times between two returns.
-func (s *Store) eraLocked() int64 { return s.returns + 1 }
+// eraLocked returns the era of the store, which rises by 1 with each Restore.
+func (s *Store) eraLocked() int64 { return s.restores + 1 }
 
 func cloneTopics(all map[string]*topic) map[string]*topic {
 	out := make(map[string]*topic, len(all))
@@ -123,7 +125,7 @@
 	return t
 }
 
-// appendLocked takes a keyed record: the key's length, the key and the value.
+// appendLocked appends a keyed record: one byte with the key's length, the key and the value.
 func (s *Store) appendLocked(name string, record []byte) int64 {
 	t := s.topic(name)
 	offset := t.first + int64(len(t.records))
@@ -142,9 +144,10 @@
 	return offset
 }
 
-const pageHeadBytes = 16
+const pageHeaderBytes = 16
 
-// page gives the records from an offset on, in the form of a read.
+// page returns the records from an offset on, encoded as the body of a read. It reports gone if
+// the offset is not retained or lies past the end.
 func (t *topic) page(from int64) (page []byte, gone bool) {
 	end := t.first + int64(len(t.records))
 	if from < t.first || from > end {
--- a/standin/store_serve.go
+++ b/standin/store_serve.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// storeEra is the header that numbers the times between two returns of the store.
-const storeEra = "Store-Era"
+// headerStoreEra carries the era of the store, which changes when the store is restored.
+const headerStoreEra = "Store-Era"
 
-// Handler serves the store's protocol, its faults at POST /control, and its return to an older
-// copy at POST /copy and POST /return.
+// Handler returns a handler of the store's protocol, with the faults at POST /control, Put at
+// POST /put, Snapshot at POST /copy and Restore at POST /return.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /-/log-append", s.serveAppend)
@@ -28,20 +28,20 @@
 	return mux
 }
 
-// up counts a call and says whether to serve it: not while the store is down, which
-// refuses it, or silent, which answers nothing until its caller leaves.
-func (s *Store) up(w http.ResponseWriter, r *http.Request) bool {
+// available counts a call and reports whether to serve it. If the store is down, it responds with
+// status 503; if it is unresponsive, it blocks until the caller disconnects.
+func (s *Store) available(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	if s.calls == nil {
 		s.calls = make(map[string]int)
 	}
 	s.calls[r.URL.Path]++
 	faults := s.faults
-	s.stampLocked(w)
+	s.setEraLocked(w)
 	s.mu.Unlock()
 	switch {
 	case faults.Unresponsive:
-		// A caller's leaving is noticed only once its body was read.
+		// net/http detects a disconnect only after the body was read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return false
@@ -52,9 +52,9 @@
 	return true
 }
 
-// stampLocked names the era that an answer is of.
-func (s *Store) stampLocked(w http.ResponseWriter) {
-	w.Header().Set(storeEra, strconv.FormatInt(s.eraLocked(), 10))
+// setEraLocked sets the era header of a response.
+func (s *Store) setEraLocked(w http.ResponseWriter) {
+	w.Header().Set(headerStoreEra, strconv.FormatInt(s.eraLocked(), 10))
 }
 
 func (s *Store) serveControl(w http.ResponseWriter, r *http.Request) {
@@ -76,20 +76,20 @@
 }
 
 func (s *Store) serveAppend(w http.ResponseWriter, r *http.Request) {
-	if !s.up(w, r) {
+	if !s.available(w, r) {
 		return
 	}
 	data, err := io.ReadAll(r.Body)
-	records, whole := splitRecords(data)
-	if err != nil || !whole {
-		http.Error(w, "keyed records are expected", http.StatusBadRequest)
+	records, ok := splitRecords(data)
+	if err != nil || !ok {
+		http.Error(w, "body must consist of keyed records", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	s.stampLocked(w)
+	s.setEraLocked(w)
 	offset := int64(-1)
-	for _, one := range records {
-		next := s.appendLocked(r.URL.Query().Get("topic"), one)
+	for _, record := range records {
+		next := s.appendLocked(r.URL.Query().Get("topic"), record)
 		if offset < 0 {
 			offset = next
 		}
@@ -105,8 +105,8 @@
 	writeJSON(w, map[string]int64{"offset": offset, "end": offset + int64(len(records))})
 }
 
-// splitRecords takes the body of an append apart; it says whether all of it is keyed records.
-func splitRecords(data []byte) (records [][]byte, whole bool) {
+// splitRecords splits the body of an append and reports whether all of it is keyed records.
+func splitRecords(data []byte) (records [][]byte, ok bool) {
 	for len(data) > 0 {
 		if len(data) < 5 {
 			return nil, false
@@ -122,7 +122,7 @@
 }
 
 func (s *Store) serveRead(w http.ResponseWriter, r *http.Request) {
-	if !s.up(w, r) {
+	if !s.available(w, r) {
 		return
 	}
 	query := r.URL.Query()
@@ -135,25 +135,25 @@
 	limit := time.NewTimer(time.Duration(waitMs) * time.Millisecond)
 	defer limit.Stop()
 	s.mu.Lock()
-	silences := s.silences
+	hangs := s.hangs
 	s.mu.Unlock()
 	for {
 		s.mu.Lock()
-		if s.silences != silences {
+		if s.hangs != hangs {
 			s.mu.Unlock()
-			<-r.Context().Done() // it fell silent meanwhile
+			<-r.Context().Done() // unresponsive since the read began
 			return
 		}
 		t := s.topic(query.Get("topic"))
 		page, gone := t.page(from)
-		s.stampLocked(w)
+		s.setEraLocked(w)
 		changed := s.changed.Wait()
 		s.mu.Unlock()
 		if gone {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(page) > pageHeadBytes {
+		if len(page) > pageHeaderBytes {
 			_, _ = w.Write(page)
 			return
 		}
@@ -168,42 +168,42 @@
 	}
 }
 
-// newestItem is one record in the answer to a look at the newest.
+// newestItem is one record of a newestPage.
 type newestItem struct {
 	Key    string `json:"key"`
 	Value  string `json:"value"`
 	Offset int64  `json:"offset"`
 }
 
-// newestPage is the answer to a look at the newest records.
+// newestPage is the response to a read of the newest records.
 type newestPage struct {
 	Items   []newestItem `json:"items"`
 	HasMore bool         `json:"hasMore"`
 	End     int64        `json:"end"`
 }
 
-// newestItems bounds the records of one page; it is small, so that tests meet
-// more than one.
-const newestItems = 5
+// maxNewestItems bounds the records of one page. It is small so that tests read
+// more than one page.
+const maxNewestItems = 5
 
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) {
-	if !s.up(w, r) {
+	if !s.available(w, r) {
 		return
 	}
 	after := r.URL.Query().Get("afterRev")
 	s.mu.Lock()
-	s.stampLocked(w)
+	s.setEraLocked(w)
 	t := s.topic(r.URL.Query().Get("topic"))
 	out := newestPage{Items: []newestItem{}, End: t.first + int64(len(t.records))}
-	for key, one := range t.newest {
+	for key, record := range t.newest {
 		if key > after {
-			out.Items = append(out.Items, newestItem{Key: key, Value: base64.StdEncoding.EncodeToString(one.value), Offset: one.offset})
+			out.Items = append(out.Items, newestItem{Key: key, Value: base64.StdEncoding.EncodeToString(record.value), Offset: record.offset})
 		}
 	}
 	s.mu.Unlock()
 	sort.Slice(out.Items, func(i, j int) bool { return out.Items[i].Key < out.Items[j].Key })
-	if len(out.Items) > newestItems {
-		out.Items, out.HasMore = out.Items[:newestItems], true
+	if len(out.Items) > maxNewestItems {
+		out.Items, out.HasMore = out.Items[:maxNewestItems], true
 	}
 	writeJSON(w, out)
 }
