--- a/tests/platform_crash_test.go
+++ b/tests/platform_crash_test.go
@@ -14,27 +14,16 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// endingText, in a call's body, ends each server that begins to run it.
-const endingText = "ends servers"
+// crashText, in the body of a call, crashes each server that starts to run it.
+const crashText = "ends servers"
 
-// TestPlatformRequestThatEndsServers bounds how many servers one request ends that its
-// caller sends again and again, and serves the others.
+// TestPlatformRequestCrashesServers checks that a request that crashes each server that runs it
+// is quarantined after a bounded number of servers, while other requests are served.
 //
-// What users saw: within a quarter of a minute sixteen of nine servers' lives ended, one
-// each second, and with each the five to seven streams that ran there. A minute later it
-// began again, with twenty.
-//
-// The order of events: a customer sent a request that ends the process of each server that
-// begins to run it. Its answer broke off; the customer sent it again under a new id, to
-// whichever front. That front had never seen it, and gave it to the next server.
-//
-// The cause: what a request had done was known by its id alone, for the time of one attempt
-// and at one front. Nothing knew it again when it came back.
-//
-// The evidence: of the calls that had no event yet as their server ended, one customer's,
-// of one size and with one last prompt part, is there each time, and is never answered; each
-// of its ids names one server that ran it.
-func TestPlatformRequestThatEndsServers(t *testing.T) {
+// The failure: the caller repeats the request under a new id, at any front, and each repeat
+// crashes one more server with all the streams that run there. A front that knows a request by
+// its id alone, and only for the time of one attempt, does not recognize the repeat.
+func TestPlatformRequestCrashesServers(t *testing.T) {
 	var p *crashSite
 	datadriven.RunTest(t, "testdata/platform/crashes", func(t *testing.T, d *datadriven.TestData) string {
 		a := scanScript(t, d)
@@ -51,15 +40,15 @@
 		case "copy":
 			return p.copyStore()
 		case "return":
-			defer p.writeAgain()
-			return p.returnStore()
+			defer p.rewriteRecords()
+			return p.restoreStore()
 		case "lift":
-			return p.lift(a.fronts[0])
+			return p.liftQuarantine(a.fronts[0])
 		case "recorded":
-			p.waitFor("all ends are on record", func() bool { return p.recordedEnds() == p.ended })
+			p.waitFor("all exits are recorded", func() bool { return p.recordedExits() == p.exited })
 			return "done\n"
 		case "send":
-			return p.send(a.fronts, a.method, a.target, endingText, a.calls)
+			return p.send(a.fronts, a.method, a.target, crashText, a.calls)
 		case "others":
 			for i := range a.calls {
 				if out := p.send(a.fronts[i%len(a.fronts):][:1], a.method, a.target, fmt.Sprint("other ", i), 1); out != "answered=1 refused=0 broken=0 ended=0\n" {
@@ -73,13 +62,13 @@
 	})
 }
 
-// crashSite is a site with servers that a request can end.
+// crashSite is a platform site with servers that a request can crash.
 type crashSite struct {
 	*platformSite
-	started, calls, ended int
-	storeDown             bool
-	// gone are the servers that were taken off the list.
-	gone []string
+	started, calls, exited int
+	storeDown              bool
+	// removed are the servers whose records were deleted.
+	removed []string
 }
 
 func newCrashSite(t *testing.T, servers int) *crashSite {
@@ -87,31 +76,30 @@
 	p := &crashSite{platformSite: newBarePlatformSite(t)}
 	p.putDocument()
 	for range servers {
-		p.addBoth()
+		p.addPair()
 	}
 	return p
 }
 
-// addBoth adds a server for each service.
-func (p *crashSite) addBoth() {
+// addPair adds one server for each service.
+func (p *crashSite) addPair() {
 	p.t.Helper()
-	p.add("app")
-	p.add("llm")
+	p.addBackend("app")
+	p.addBackend("llm")
 }
 
-// add adds a server of a service.
-func (p *crashSite) add(service string) {
+func (p *crashSite) addBackend(service string) {
 	p.t.Helper()
 	p.started++
-	p.addServer(fmt.Sprintf("%s-%d", service, p.started), "--end-on", endingText)
+	p.addServer(fmt.Sprintf("%s-%d", service, p.started), "--end-on", crashText)
 }
 
-// send sends a request so many times, each under an id of its own, to the fronts in turn,
-// and tells how it was answered and how many servers ended. Each of these is replaced by a
-// new one, unless the store is down.
+// send sends a request the given number of times, each under its own id, to the fronts in turn.
+// It returns how many calls were answered, refused or broken off and how many servers exited.
+// Each of these servers is replaced by a new one unless the store is down.
 func (p *crashSite) send(fronts []string, method, target, body string, calls int) string {
 	p.t.Helper()
-	var answered, refused, broken, ended int
+	var answered, refused, broken, exited int
 	for i := range calls {
 		p.calls++
 		res, _, err := p.do(fronts[i%len(fronts)], platformCall{
@@ -127,31 +115,32 @@
 		default:
 			p.t.Fatal(errors.New(res.Status))
 		}
-		ended += p.replaceEnded()
+		exited += p.replaceExited()
 	}
-	return fmt.Sprintf("answered=%d refused=%d broken=%d ended=%d\n", answered, refused, broken, ended)
+	return fmt.Sprintf("answered=%d refused=%d broken=%d ended=%d\n", answered, refused, broken, exited)
 }
 
-// writeAgain puts on the store what was written there of the servers.
-func (p *crashSite) writeAgain() {
+// rewriteRecords writes the servers' records to the store again.
+func (p *crashSite) rewriteRecords() {
 	p.t.Helper()
 	for name := range p.backends {
 		p.listServer(name, "ready")
 	}
-	for _, name := range p.gone {
+	for _, name := range p.removed {
 		p.put("keyed.servers", name, nil)
 	}
 }
 
-// lift has a front let all requests go that are held, and waits until all fronts do.
-func (p *crashSite) lift(front string) string {
+// liftQuarantine has an operator end the quarantine of all requests at one front, and waits until
+// all fronts have ended it.
+func (p *crashSite) liftQuarantine(front string) string {
 	p.t.Helper()
 	operators := "http://" + p.fronts[front].address("operators")
 	var status struct {
 		Suspects []runworks.Suspect `json:"suspects"`
 	}
 	if !getJSON(operators+"/status", &status) {
-		p.t.Fatalf("%s does not tell its status", front)
+		p.t.Fatalf("%s: no status", front)
 	}
 	for _, s := range status.Suspects {
 		req, err := http.NewRequest(http.MethodDelete, operators+"/quarantine/"+string(s.Fingerprint), nil)
@@ -167,14 +156,14 @@
 			p.t.Fatalf("lift %s: %s", s.Fingerprint, res.Status)
 		}
 	}
-	p.ended = 0
+	p.exited = 0
 	p.waitFronts()
 	return "lifted\n"
 }
 
-// replaceEnded takes the servers that ended off the list and starts new ones; it says how
-// many ended.
-func (p *crashSite) replaceEnded() int {
+// replaceExited removes the records of servers that exited and starts new servers. It returns how
+// many exited.
+func (p *crashSite) replaceExited() int {
 	p.t.Helper()
 	n := 0
 	for name, one := range p.backends {
@@ -188,19 +177,19 @@
 		delete(p.backends, name)
 		if !p.storeDown {
 			p.put("keyed.servers", name, nil)
-			p.gone = append(p.gone, name)
-			p.add(name[:len("app")])
+			p.removed = append(p.removed, name)
+			p.addBackend(name[:len("app")])
 		}
 	}
 	if n > 0 {
-		p.ended += n
+		p.exited += n
 		p.waitFronts()
 	}
 	return n
 }
 
-// waitFronts waits until all fronts know what ended, which takes some ms on a busy host, and
-// just the servers that there are.
+// waitFronts waits until all fronts know all exits, which takes some ms on a busy host, and
+// exactly the servers that exist.
 func (p *crashSite) waitFronts() {
 	p.t.Helper()
 	for name, one := range p.fronts {
@@ -209,15 +198,15 @@
 			continue
 		default:
 		}
-		p.waitFor(name+" knows what ended", func() bool { return p.knownEnds(one) == p.ended })
+		p.waitFor(name+" knows all exits", func() bool { return p.knownExits(one) == p.exited })
 		if !p.storeDown {
 			p.waitFor(name+" knows the servers", func() bool { return p.knowsServers(one) })
 		}
 	}
 }
 
-// knownEnds gives how many servers a front knows to have ended under requests.
-func (p *crashSite) knownEnds(front *process) int {
+// knownExits returns how many server exits a front attributes to requests.
+func (p *crashSite) knownExits(front *process) int {
 	var status struct {
 		Suspects []runworks.Suspect `json:"suspects"`
 	}
@@ -230,8 +219,8 @@
 	return n
 }
 
-// recordedEnds gives how many servers are on the store's record as ended under requests.
-func (p *crashSite) recordedEnds() int {
+// recordedExits returns how many server exits the store's records attribute to requests.
+func (p *crashSite) recordedExits() int {
 	var page struct {
 		Items []struct {
 			Value []byte `json:"value"`
@@ -242,22 +231,22 @@
 		return -1
 	}
 	if page.HasMore {
-		p.t.Fatal("the record has more pages than this reads")
+		p.t.Fatal("records of suspects span several pages; only one is read")
 	}
-	ends := map[string]bool{}
+	exits := map[string]bool{}
 	for _, item := range page.Items {
 		var s runworks.Suspect
 		if err := json.Unmarshal(item.Value, &s); err != nil {
 			p.t.Fatal(err)
 		}
 		for _, e := range s.Exits {
-			ends[e.Server] = true
+			exits[e.Server] = true
 		}
 	}
-	return len(ends)
+	return len(exits)
 }
 
-// knowsServers says whether a front gives calls to just the servers that there are.
+// knowsServers reports whether a front sends calls to exactly the servers that exist.
 func (p *crashSite) knowsServers(front *process) bool {
 	var status struct {
 		Servers []struct {
--- a/tests/platform_limit_test.go
+++ b/tests/platform_limit_test.go
@@ -11,31 +11,22 @@
 )
 
 const (
-	// limitWindow is longer than any of these tests, so that nothing that was drawn
-	// leaves it; with the document's rate of 1,000 tokens a second it makes the limit.
+	// limitWindow is longer than each of these tests, so that consumed tokens do not leave the
+	// window; with the document's rate of 1,000 tokens per second it makes the limit.
 	limitWindow = 60 * time.Second
 	limitTokens = 60_000
-	// pressTokens is the size of each call that presses on a limit.
-	pressTokens = 100
+	// callTokens is the size of each call sent by load.
+	callTokens = 100
 )
 
-// TestPlatformLimitAcrossStarts keeps a customer's limit while fronts end without a
-// word and start anew.
+// TestPlatformLimitAcrossRestarts checks that a customer's limit is kept while fronts crash and
+// restart.
 //
-// What users saw: a customer got three tenths more than its limit in the window around a
-// restart. The order of events: it stood at its limit, and every front refused it; fronts
-// were killed and started again half a second later; the new ones let it through at once,
-// for seconds, while those that had lived on went on refusing it.
-//
-// The cause: what was drawn was kept in the memory of each front alone. A new one counted
-// from zero, opened a second's worth of the limit by itself, and took from the heartbeats
-// of the others only what they drew after it first heard them. Fronts that started
-// together each did so, and never counted what the others drew before they were heard.
-//
-// The evidence: a new front's lines say that it let calls through with 0 to 25,000 tokens
-// counted of 50,000, while the old ones refused with 447,000 of 449,000 counted; two that
-// started together disagreed by what each drew before it heard the other, until the end.
-func TestPlatformLimitAcrossStarts(t *testing.T) {
+// The failure: a front that counts consumption only in memory starts at zero and lets the
+// customer exceed its limit, while the other fronts still refuse it. From the others' heartbeats
+// it learns only what was consumed after the first one that it received, so that fronts that
+// start together never agree.
+func TestPlatformLimitAcrossRestarts(t *testing.T) {
 	var p *limitSite
 	datadriven.RunTest(t, "testdata/platform/limits", func(t *testing.T, d *datadriven.TestData) string {
 		a := scanScript(t, d)
@@ -48,37 +39,36 @@
 		case "copy":
 			return p.copyStore()
 		case "return":
-			return p.returnStore()
+			return p.restoreStore()
 		case "draw":
-			return p.draw(a.fronts, a.tokens)
+			return p.consume(a.fronts, a.tokens)
 		case "press":
-			return p.press(a.fronts, a.lasts, a.calls)
+			return p.load(a.fronts, a.duration, a.calls)
 		}
 		t.Fatalf("no command %s", d.Cmd)
 		return ""
 	})
 }
 
-// limitSite is a site whose customer presses on its limit.
+// limitSite is a platform site whose customer calls at its limit.
 type limitSite struct {
 	*platformSite
 	calls int
-	// ran is how many tokens of the customer were served.
-	ran int
+	// served is how many tokens of the customer were served.
+	served int
 }
 
 func newLimitSite(t *testing.T) *limitSite {
 	t.Helper()
 	p := &limitSite{platformSite: newBarePlatformSite(t)}
-	p.more = fmt.Sprintf("quota_window: %s\n", limitWindow)
+	p.extraSettings = fmt.Sprintf("quota_window: %s\n", limitWindow)
 	p.putDocument()
 	p.addServer("app-1")
 	return p
 }
 
-// draw has the first of some fronts serve one large call, and waits until all of them
-// count it.
-func (p *limitSite) draw(fronts []string, tokens int) string {
+// consume has the first of the fronts serve one large call, and waits until all of them count it.
+func (p *limitSite) consume(fronts []string, tokens int) string {
 	p.t.Helper()
 	status := p.call(fronts[0], tokens)
 	for _, name := range fronts {
@@ -92,7 +82,7 @@
 	return fmt.Sprintln(status)
 }
 
-// call sends one call of a size and gives the answer's status.
+// call sends one call of the given size and returns the response's status.
 func (p *limitSite) call(front string, tokens int) int {
 	p.t.Helper()
 	p.calls++
@@ -104,23 +94,24 @@
 		p.t.Fatal(err)
 	}
 	if res.StatusCode == http.StatusOK {
-		p.ran += tokens
+		p.served += tokens
 	}
 	return res.StatusCode
 }
 
-// press sends small calls to the fronts in turn, one after the other, for a while or so
-// many, and says whether any passed and whether more ran than the limit allows.
-func (p *limitSite) press(fronts []string, lasts time.Duration, calls int) string {
+// load sends small calls to the fronts in turn, one at a time, for the given time or number of
+// calls. It reports whether any was served and whether more tokens were served in all than the
+// limit allows.
+func (p *limitSite) load(fronts []string, d time.Duration, calls int) string {
 	p.t.Helper()
 	passed := false
-	for end := time.Now().Add(lasts); calls > 0 || time.Now().Before(end); calls-- {
-		if p.call(fronts[p.calls%len(fronts)], pressTokens) == http.StatusOK {
+	for end := time.Now().Add(d); calls > 0 || time.Now().Before(end); calls-- {
+		if p.call(fronts[p.calls%len(fronts)], callTokens) == http.StatusOK {
 			passed = true
 		}
 	}
-	if p.ran > limitTokens {
-		p.t.Logf("%d tokens ran, %d are allowed", p.ran, limitTokens)
+	if p.served > limitTokens {
+		p.t.Logf("%d tokens served, limit %d", p.served, limitTokens)
 	}
-	return fmt.Sprintf("passed=%t beyond=%t\n", passed, p.ran > limitTokens)
+	return fmt.Sprintf("passed=%t beyond=%t\n", passed, p.served > limitTokens)
 }
--- a/tests/platform_record_test.go
+++ b/tests/platform_record_test.go
@@ -13,24 +13,24 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// serverRecord is what a backend server tells of itself; a start of 0 is not told.
-func serverRecord(service, address, state string, born int64) []byte {
+// serverRecord returns a backend server's record; a generation of 0 is left out.
+func serverRecord(service, address, state string, generation int64) []byte {
 	record := fmt.Appendf(nil, `{"service": %q, "address": %q, "zone": "a", "slots": 8, "state": %q, "seq": 1, "version": "v1", "coldRemainingMs": 0`,
 		service, address, state)
-	if born > 0 {
-		record = fmt.Appendf(record, `, "born": %d`, born)
+	if generation > 0 {
+		record = fmt.Appendf(record, `, "born": %d`, generation)
 	}
 	return append(record, '}')
 }
 
-// record is what a backend server of the site tells of itself.
-func (p *platformSite) record(name, state string, born int64) []byte {
+// record returns the record of a backend server of the site.
+func (p *platformSite) record(name, state string, generation int64) []byte {
 	service, _, _ := strings.Cut(name, "-")
-	return serverRecord(service, p.backends[name].address("standin"), state, born)
+	return serverRecord(service, p.backends[name].address("standin"), state, generation)
 }
 
-// logs gives how many lines of a front's log hold all texts.
-func (p *platformSite) logs(front string, texts ...string) int {
+// countLogLines returns how many lines of a front's log contain all texts.
+func (p *platformSite) countLogLines(front string, texts ...string) int {
 	n := 0
 	for line := range strings.Lines(p.fronts[front].outputText()) {
 		holds := true
@@ -44,8 +44,8 @@
 	return n
 }
 
-// TestPlatformForeignRecords puts records on the store that no backend server wrote: they
-// name none to use, each is logged and counted, and the others serve on.
+// TestPlatformForeignRecords checks that store records that no backend server wrote add no
+// server, that each is logged and counted, and that the other servers serve on.
 func TestPlatformForeignRecords(t *testing.T) {
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1", "front-2")
@@ -60,18 +60,18 @@
 		{"trap 5", trap},
 		{"trap-6", "\xff\xfe\x00"},
 		{"trap-7", strings.Replace(trap, `"slots": 8`, `"slots": 8, "born": "now"`, 1)},
-		{"app-1", "{"}, // in the place of one that served
+		{"app-1", "{"}, // overwrites the record of a server in use
 	}
 	for _, one := range foreign {
 		p.put("keyed.servers", one.key, []byte(one.value))
 	}
 	for _, front := range []string{"front-1", "front-2"} {
 		for _, one := range foreign {
-			p.waitFor(front+" tells of "+one.key, func() bool {
-				return p.logs(front, "record names no backend server to use", fmt.Sprintf("%q", one.key)) == 1
+			p.waitFor(front+" logs "+one.key, func() bool {
+				return p.countLogLines(front, "record names no backend server to use", fmt.Sprintf("%q", one.key)) == 1
 			})
 		}
-		p.waitFor(front+" has dropped app-1", func() bool { return p.logs(front, "backend server draining or removed", `"app-1"`) == 1 })
+		p.waitFor(front+" has dropped app-1", func() bool { return p.countLogLines(front, "backend server draining or removed", `"app-1"`) == 1 })
 	}
 	before := len(p.calls("app-1"))
 	for i := range 20 {
@@ -88,13 +88,13 @@
 	is.NoErr(err)
 	is.NoErr(res.Body.Close())
 	is.True(strings.Contains(string(text), fmt.Sprintf("\nrunworks_records_refused_total %d\n", len(foreign))))
-	p.listServer("app-2", "draining") // the only other one
-	p.waitFor("front-1 drops app-2", func() bool { return p.logs("front-1", "backend server draining or removed", `"app-2"`) == 1 })
+	p.listServer("app-2", "draining") // the last usable server
+	p.waitFor("front-1 drops app-2", func() bool { return p.countLogLines("front-1", "backend server draining or removed", `"app-2"`) == 1 })
 	c := platformCall{id: "nowhere", method: http.MethodGet, target: "/safe/1", key: "yard-key"}
 	answer, _, err := p.do("front-1", c)
 	is.NoErr(err)
 	is.Equal(answer.StatusCode, http.StatusServiceUnavailable)
-	p.listServer("app-1", "ready") // it writes again
+	p.listServer("app-1", "ready") // the server rewrites its record
 	c.id = "again"
 	p.waitFor("app-1 is used again", func() bool {
 		answer, _, err := p.do("front-1", c)
@@ -103,10 +103,10 @@
 	is.Equal(len(p.calls("app-1")), before+1)
 }
 
-// TestPlatformServerStartsAgain starts a backend server again under its id while calls run
-// there: each front tells its callers at once, and calls go to the new life, whatever a
-// late record of the old one says.
-func TestPlatformServerStartsAgain(t *testing.T) {
+// TestPlatformServerRestarts restarts a backend server under its id while calls run there: each
+// front fails these calls at once, and sends new ones to the new incarnation, also after a late
+// record of the old one.
+func TestPlatformServerRestarts(t *testing.T) {
 	is := is.New(t)
 	p := newBarePlatformSite(t)
 	p.putDocument()
@@ -129,17 +129,17 @@
 		}()
 	}
 	p.waitFor("both calls run", func() bool { return len(p.calls("app-1")) == 2 })
-	silent := p.backends["app-1"] // it goes dark: its connections stay open
+	silent := p.backends["app-1"] // unreachable from here on, with its connections open
 	p.backends["app-1"] = startProcess(t, "app-1", "standin", "routed", "--instance", "app-1")
 	began := time.Now()
 	p.put("keyed.servers", "app-1", p.record("app-1", "ready", 2000))
 	for range 2 {
-		is.Equal(<-ended, http.StatusBadGateway) // nobody can tell whether they ran whole
+		is.Equal(<-ended, http.StatusBadGateway) // it is unknown whether they ran to the end
 	}
-	is.True(time.Since(began) < 3*time.Second) // the calls have five
+	is.True(time.Since(began) < 3*time.Second) // their timeout is 5 s
 	p.put("keyed.servers", "app-1", old)
 	for _, front := range []string{"front-1", "front-2"} {
-		p.waitFor("the late record is told of", func() bool { return p.logs(front, "record names no backend server to use", "outdated") == 1 })
+		p.waitFor("the late record is logged", func() bool { return p.countLogLines(front, "record names no backend server to use", "outdated") == 1 })
 		res, _, err := p.do(front, platformCall{id: "new at " + front, method: http.MethodPost, target: "/once/2", key: "yard-key"})
 		is.NoErr(err)
 		is.Equal(res.StatusCode, http.StatusOK)
--- a/tests/platform_word_site_test.go
+++ b/tests/platform_report_site_test.go
@@ -16,41 +16,40 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// callerPause is the time from one call of a caller to its next.
+// callerPause is the time between two calls of one caller.
 const callerPause = 25 * time.Millisecond
 
-// wordSite is a site of separate processes with servers that say things of themselves in
-// their answers.
-type wordSite struct {
+// reportSite is a platform site with servers that attach reports to their responses.
+type reportSite struct {
 	*platformSite
 	mu    sync.Mutex
 	calls int
-	// sent is when callers sent their calls, by id, and passed when a front passed on the
-	// first answer by which a server said that it leaves.
-	sent   map[string]time.Time
-	passed map[frontServer]time.Time
-	// limits are the limits that servers name, in requests a second, and from when on they
-	// hold at all fronts.
+	// sent holds when callers sent their calls, by id.
+	sent map[string]time.Time
+	// drainForwarded holds when a front forwarded the first response by which a server reports
+	// draining.
+	drainForwarded map[frontServer]time.Time
+	// limits are the rate limits that servers report, in requests per second.
 	limits map[string]float64
-	from   map[string]time.Time
+	// limitFrom is from when on all fronts have to enforce a limit.
+	limitFrom map[string]time.Time
 }
 
-// frontServer names a front and a server that it has calls at.
 type frontServer struct{ front, server string }
 
-// playWords plays a script of what servers say of themselves.
-func playWords(t *testing.T, path string) {
+// playReports plays a script of server reports.
+func playReports(t *testing.T, path string) {
 	t.Helper()
-	var p *wordSite
+	var p *reportSite
 	datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 		a := scanScript(t, d)
 		if d.Cmd == "site" {
-			p = newWordSite(t, a.servers)
+			p = newReportSite(t, a.servers)
 		}
 		if out := p.stepFronts(d.Cmd, a.fronts); out != "" {
 			return out
 		}
-		if out := p.stepWords(d.Cmd, &a); out != "" {
+		if out := p.stepReports(d.Cmd, &a); out != "" {
 			return out
 		}
 		t.Fatalf("no command %s", d.Cmd)
@@ -58,41 +57,41 @@
 	})
 }
 
-// stepWords does a step of a script; it gives nothing for one that it does not know.
-func (p *wordSite) stepWords(step string, a *scriptArgs) string {
+// stepReports runs a step of a script; it returns an empty string for an unknown step.
+func (p *reportSite) stepReports(step string, a *scriptArgs) string {
 	p.t.Helper()
 	switch step {
 	case "load":
-		return p.load(a.fronts, a.target, a.callers, a.lasts)
+		return p.load(a.fronts, a.target, a.callers, a.duration)
 	case "limit":
-		return p.limit(a.servers, a.limit)
+		return p.setLimit(a.servers, a.limit)
 	case "told":
-		return p.told(a.fronts, a.servers, a.target, a.limit)
+		return p.awaitLimits(a.fronts, a.servers, a.target, a.limit)
 	case "kept":
-		return p.kept()
+		return p.checkLimits()
 	case "leave":
-		return p.leave(a.servers)
+		return p.setDraining(a.servers)
 	case "passed-on":
-		return p.passedOn(a.fronts, a.servers, a.target)
+		return p.awaitDrainForwarded(a.fronts, a.servers, a.target)
 	case "know":
-		return p.knowLeaving(a.fronts, a.servers)
+		return p.awaitDraining(a.fronts, a.servers)
 	case "late":
-		return p.late()
+		return p.lateCalls()
 	case "rest":
-		return p.rest(a.servers, a.lasts)
+		return p.setBackoff(a.servers, a.duration)
 	case "rested":
-		return p.rested()
+		return p.checkBackoffs()
 	case "back":
-		return p.back(a.fronts[0], a.servers, a.target, a.lasts)
+		return p.retryAfterBackoff(a.fronts[0], a.servers, a.target, a.duration)
 	}
 	return ""
 }
 
-func newWordSite(t *testing.T, servers []string) *wordSite {
+func newReportSite(t *testing.T, servers []string) *reportSite {
 	t.Helper()
-	p := &wordSite{
-		platformSite: newBarePlatformSite(t), sent: map[string]time.Time{}, passed: map[frontServer]time.Time{},
-		limits: map[string]float64{}, from: map[string]time.Time{},
+	p := &reportSite{
+		platformSite: newBarePlatformSite(t), sent: map[string]time.Time{}, drainForwarded: map[frontServer]time.Time{},
+		limits: map[string]float64{}, limitFrom: map[string]time.Time{},
 	}
 	p.putDocument()
 	for _, name := range servers {
@@ -101,31 +100,31 @@
 	return p
 }
 
-// arrivals gives the calls that came to a server.
-func (p *wordSite) arrivals(server string) []standin.RoutedArrival {
+// arrivals returns the calls that arrived at a server, including those that did not run.
+func (p *reportSite) arrivals(server string) []standin.RoutedArrival {
 	p.t.Helper()
 	var out []standin.RoutedArrival
 	if !getJSON("http://"+p.backends[server].address("standin")+"/arrivals", &out) {
-		p.t.Fatalf("%s does not tell its arrivals", server)
+		p.t.Fatalf("%s: no arrivals", server)
 	}
 	return out
 }
 
-// frontOf gives the front that a call was sent to.
+// frontOf returns the front that a call was sent to.
 func frontOf(id string) string {
 	front, _, _ := strings.Cut(id, "/")
 	return front
 }
 
-// callResult says how a caller was answered.
+// callResult is how a call was answered.
 type callResult struct {
 	status int
-	// retryAfter is when to come back; 0 if that is not told.
+	// retryAfter is the Retry-After of the response; 0 without one.
 	retryAfter time.Duration
 }
 
-// call sends one call, and notes if its answer says that its server leaves.
-func (p *wordSite) call(front, target string) callResult {
+// call sends one call, and records whether its response reports that its server drains.
+func (p *reportSite) call(front, target string) callResult {
 	p.t.Helper()
 	p.mu.Lock()
 	p.calls++
@@ -144,8 +143,8 @@
 	if res.Header.Get(standin.HeaderRoutedDraining) != "" {
 		p.mu.Lock()
 		key := frontServer{front, res.Header.Get(standin.HeaderRoutedSignature)}
-		if p.passed[key].IsZero() {
-			p.passed[key] = time.Now()
+		if p.drainForwarded[key].IsZero() {
+			p.drainForwarded[key] = time.Now()
 		}
 		p.mu.Unlock()
 	}
@@ -153,9 +152,9 @@
 	return callResult{status: res.StatusCode, retryAfter: time.Duration(seconds * float64(time.Second))}
 }
 
-// callAtOnce sends some calls for each server at once: a front prefers one server for calls
-// that come one after the other.
-func (p *wordSite) callAtOnce(front, target string) {
+// callConcurrently sends two concurrent calls per server: a front prefers one server for
+// sequential calls.
+func (p *reportSite) callConcurrently(front, target string) {
 	var wg sync.WaitGroup
 	for range 2 * len(p.backends) {
 		wg.Go(func() { p.call(front, target) })
@@ -163,10 +162,10 @@
 	wg.Wait()
 }
 
-// load has callers at each of the fronts call for a while, and tells how they were answered.
-func (p *wordSite) load(fronts []string, target string, callers int, lasts time.Duration) string {
+// load runs callers at each of the fronts for a while, and returns how they were answered.
+func (p *reportSite) load(fronts []string, target string, callers int, d time.Duration) string {
 	p.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), lasts)
+	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 	var mu sync.Mutex
 	var results []callResult
@@ -196,6 +195,6 @@
 			other++
 		}
 	}
-	p.t.Logf("%d served, %d refused, %d answered in other ways", served, refused, other)
+	p.t.Logf("%d served, %d refused, %d answered otherwise", served, refused, other)
 	return fmt.Sprintf("served=%t refused=%t other=%d\n", served > 0, refused > 0, other)
 }
--- a/tests/platform_return_test.go
+++ b/tests/platform_restore_test.go
@@ -12,19 +12,19 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// returnBound is within which time of its ack a change is in force.
-const returnBound = 3 * time.Second
+// applyBound is within which time of its acknowledgement a change is active.
+const applyBound = 3 * time.Second
 
-// TestPlatformChangesAfterStoreReturns puts each change in force in time at all fronts after
-// the store came back from an older copy, and nothing older in the place of what was.
-func TestPlatformChangesAfterStoreReturns(t *testing.T) {
-	var p *returnSite
+// TestPlatformChangesAfterStoreRestored checks that after the store was restored from an older
+// copy each change becomes active at all fronts in time, and that no older state replaces newer.
+func TestPlatformChangesAfterStoreRestored(t *testing.T) {
+	var p *restoreSite
 	datadriven.RunTest(t, "testdata/platform/store_returns", func(t *testing.T, d *datadriven.TestData) string {
 		a := scanScript(t, d)
 		if d.Cmd == "site" {
-			p = newReturnSite(t, a.servers)
+			p = newRestoreSite(t, a.servers)
 		}
-		for _, step := range []func(*datadriven.TestData, *scriptArgs) string{p.stepStore, p.stepRecords, p.look} {
+		for _, step := range []func(*datadriven.TestData, *scriptArgs) string{p.stepStore, p.stepRecords, p.stepChecks} {
 			if out := step(d, &a); out != "" {
 				return out
 			}
@@ -37,26 +37,26 @@
 	})
 }
 
-// stepStore does the steps of the store itself.
-func (p *returnSite) stepStore(d *datadriven.TestData, a *scriptArgs) string {
+// stepStore runs the steps of the store itself.
+func (p *restoreSite) stepStore(d *datadriven.TestData, a *scriptArgs) string {
 	switch d.Cmd {
 	case "copy":
 		return p.copyStore()
 	case "away":
 		p.setFaults(p.store, standin.StoreFaults{Down: d.HasArg("down"), Unresponsive: d.HasArg("silent")})
-		p.wait(a.lasts)
+		p.wait(a.duration)
 		return "away\n"
 	case "return":
-		return p.returnStore()
+		return p.restoreStore()
 	case "wait":
-		p.wait(a.lasts)
+		p.wait(a.duration)
 		return "waited\n"
 	}
 	return ""
 }
 
-// stepRecords writes what the platform writes on the store.
-func (p *returnSite) stepRecords(d *datadriven.TestData, a *scriptArgs) string {
+// stepRecords writes the platform's records to the store.
+func (p *restoreSite) stepRecords(d *datadriven.TestData, a *scriptArgs) string {
 	switch d.Cmd {
 	case "document":
 		p.putVersion(a.count)
@@ -84,28 +84,28 @@
 	return ""
 }
 
-// look tells what fronts do.
-func (p *returnSite) look(d *datadriven.TestData, a *scriptArgs) string {
+// stepChecks runs the steps that check the fronts.
+func (p *restoreSite) stepChecks(d *datadriven.TestData, a *scriptArgs) string {
 	switch d.Cmd {
 	case "in-force":
-		return p.inForce(a.fronts, a.count)
+		return p.checkActive(a.fronts, a.count)
 	case "servers":
-		return p.know(a.fronts, a.count)
+		return p.awaitServers(a.fronts, a.count)
 	case "used":
-		return p.used(a.fronts, a.servers, a.target)
+		return p.checkUsed(a.fronts, a.servers, a.target)
 	}
 	return ""
 }
 
-// returnSite is a site whose store can come back from an older copy.
-type returnSite struct {
+// restoreSite is a platform site whose store can be restored from an older copy.
+type restoreSite struct {
 	*platformSite
 	calls int
 }
 
-func newReturnSite(t *testing.T, servers []string) *returnSite {
+func newRestoreSite(t *testing.T, servers []string) *restoreSite {
 	t.Helper()
-	p := &returnSite{platformSite: newBarePlatformSite(t)}
+	p := &restoreSite{platformSite: newBarePlatformSite(t)}
 	p.putVersion(1)
 	for _, name := range servers {
 		p.addServer(name)
@@ -113,32 +113,31 @@
 	return p
 }
 
-// putVersion puts a version of the document on the store, which holds one key of its own.
-func (p *returnSite) putVersion(version int) {
+// putVersion writes a version of the document, which contains one key of its own, to the store.
+func (p *restoreSite) putVersion(version int) {
 	p.t.Helper()
 	keys := fmt.Sprintf(`"yard-key", "key-of-%d"`, version)
 	p.put("keyed.op", "config", []byte(strings.ReplaceAll(fmt.Sprintf(platformDocument, version), `"yard-key"`, keys)))
 }
 
-// wait lets the system run.
-func (p *returnSite) wait(lasts time.Duration) {
-	timer := time.NewTimer(lasts)
+func (p *restoreSite) wait(d time.Duration) {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	<-timer.C
 }
 
-// inForce says whether each front accepts the key of a version within the bound, and no
-// longer that of the version before.
-func (p *returnSite) inForce(fronts []string, version int) string {
+// checkActive checks that each front accepts the key of a version within applyBound, and rejects
+// that of the version before.
+func (p *restoreSite) checkActive(fronts []string, version int) string {
 	p.t.Helper()
-	deadline := time.Now().Add(returnBound)
+	deadline := time.Now().Add(applyBound)
 	var out strings.Builder
 	for _, front := range fronts {
-		now := false
-		for !now && time.Now().Before(deadline) {
-			now = p.status(front, fmt.Sprint("key-of-", version)) == http.StatusOK && p.status(front, fmt.Sprint("key-of-", version-1)) == http.StatusUnauthorized
+		active := false
+		for !active && time.Now().Before(deadline) {
+			active = p.status(front, fmt.Sprint("key-of-", version)) == http.StatusOK && p.status(front, fmt.Sprint("key-of-", version-1)) == http.StatusUnauthorized
 		}
-		if !now {
+		if !active {
 			fmt.Fprintf(&out, "not at %s\n", front)
 		}
 	}
@@ -148,8 +147,8 @@
 	return out.String()
 }
 
-// status sends a call with a key and gives its answer's status.
-func (p *returnSite) status(front, key string) int {
+// status sends a call with a key and returns the response's status.
+func (p *restoreSite) status(front, key string) int {
 	p.t.Helper()
 	p.calls++
 	res, _, err := p.do(front, platformCall{id: fmt.Sprint("return-", p.calls), method: http.MethodGet, target: "/safe/1", key: key})
@@ -159,8 +158,8 @@
 	return res.StatusCode
 }
 
-// know waits until each front has a number of servers that it sends calls to.
-func (p *returnSite) know(fronts []string, count int) string {
+// awaitServers waits until each front has the given number of servers that it sends calls to.
+func (p *restoreSite) awaitServers(fronts []string, count int) string {
 	p.t.Helper()
 	for _, front := range fronts {
 		p.waitFor(fmt.Sprintf("%s uses %d servers", front, count), func() bool {
@@ -184,18 +183,19 @@
 	return "known\n"
 }
 
-// usedCalls is how many calls a look at who is used makes at each front: many times the servers.
-const usedCalls = 24
+// callsPerFront is how many calls checkUsed sends to each front: many times the number of
+// servers.
+const callsPerFront = 24
 
-// used says which of the servers get calls from the fronts.
-func (p *returnSite) used(fronts, servers []string, target string) string {
+// checkUsed returns which of the servers receive calls from the fronts.
+func (p *restoreSite) checkUsed(fronts, servers []string, target string) string {
 	p.t.Helper()
 	before := map[string]int{}
 	for _, name := range servers {
 		before[name] = len(p.platformSite.calls(name))
 	}
 	for _, front := range fronts {
-		for range usedCalls {
+		for range callsPerFront {
 			p.calls++
 			c := platformCall{id: fmt.Sprint("return-", p.calls), method: http.MethodGet, target: target, key: "yard-key"}
 			if _, _, err := p.do(front, c); err != nil {
--- a/tests/platform_script_test.go
+++ b/tests/platform_script_test.go
@@ -9,17 +9,16 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// scriptArgs are the arguments of a line in a script of a platform site; what a line lacks is
+// scriptArgs are the arguments of a line in a script of a platform site; those not given are
 // zero.
 type scriptArgs struct {
 	fronts, servers       []string
 	method, target, limit string
-	// count is how many servers there are, where these have no names.
+	// count is the number of servers where these have no names, or a version.
 	count, calls, callers, tokens int
-	lasts                         time.Duration
+	duration                      time.Duration
 }
 
-// scanScript reads the arguments of a line.
 func scanScript(t *testing.T, d *datadriven.TestData) scriptArgs {
 	t.Helper()
 	var a scriptArgs
@@ -30,40 +29,40 @@
 	} {
 		d.MaybeScanArgs(t, key, to)
 	}
-	a.lasts = time.Duration(ms) * time.Millisecond
+	a.duration = time.Duration(ms) * time.Millisecond
 	return a
 }
 
-// copyStore has the store keep a copy of what it holds.
+// copyStore has the store copy its contents.
 func (p *platformSite) copyStore() string {
 	p.t.Helper()
 	p.post("http://"+p.store.address("standin")+"/copy", nil)
 	return "copied\n"
 }
 
-// returnStore has the store come back from its copy.
-func (p *platformSite) returnStore() string {
+// restoreStore restores the store from its copy and ends its faults.
+func (p *platformSite) restoreStore() string {
 	p.t.Helper()
 	p.post("http://"+p.store.address("standin")+"/return", nil)
 	p.setFaults(p.store, standin.StoreFaults{})
 	return "back\n"
 }
 
-// stepFronts does the steps that the scripts of all sites share: it starts fronts, as the
-// first of a site until they know each other, or ends them. It gives nothing for other steps.
+// stepFronts runs the steps common to all scripts: it starts or kills fronts, and for the first
+// ones of a site waits until they are connected. It returns an empty string for other steps.
 func (p *platformSite) stepFronts(step string, fronts []string) string {
 	p.t.Helper()
 	switch step {
 	case "site":
-		out := p.startAll(fronts)
+		out := p.startFronts(fronts)
 		for _, name := range fronts {
 			p.waitReady(name, len(fronts))
 		}
 		return out
 	case "start":
-		return p.startAll(fronts)
+		return p.startFronts(fronts)
 	case "kill":
-		return p.killAll(fronts)
+		return p.killFronts(fronts)
 	}
 	return ""
 }
--- a/tests/platform_server_limit_test.go
+++ b/tests/platform_server_limit_test.go
@@ -11,41 +11,32 @@
 )
 
 const (
-	// A server may get limitSlack times what its limit allows in limitSpan, and limitExtra
-	// requests more, from all fronts together, once they were told toldBefore before: the
-	// users' rule.
-	limitSlack = 1.5
-	limitExtra = 5
-	limitSpan  = 4 * time.Second
-	toldBefore = 500 * time.Millisecond
+	// In each limitSpan, all fronts together may send a server limitFactor times what its limit
+	// allows plus limitExtra requests, from limitGrace after they learned the limit: a
+	// requirement of the users.
+	limitFactor = 1.5
+	limitExtra  = 5
+	limitSpan   = 4 * time.Second
+	limitGrace  = 500 * time.Millisecond
 )
 
-// TestPlatformServerLimit keeps to the limits that backend servers name, over all fronts
-// together, and serves callers with what the servers take.
+// TestPlatformServerLimit checks that all fronts together keep to the rate limits that backend
+// servers report, and serve callers up to them.
 //
-// What users saw: servers in need named a limit in their answers, and went on getting what
-// they had before: 20 calls in four seconds where 8.8 were named, 13 where 4 were.
-//
-// The order of events: on a calm day two servers of nine began to name limits of 2.2 and 1
-// calls a second. All five fronts were told within a second. Each sent on as before.
-//
-// The cause: no front read the limit, and none could have kept it alone: no front sent more
-// than 7 calls in four seconds, and five fronts together 23.
-//
-// The evidence: the lines of the fronts hold the same number of calls at these servers before
-// and after; no repeats, none turned away. With a line for each word of a server, each front
-// tells within the second that it was told, and its calls go on.
+// The failure: fronts that ignore the reported limit, or that apply it each on its own, send an
+// overloaded server several times its limit. Each front's own rate may be within the limit while
+// their sum is not.
 func TestPlatformServerLimit(t *testing.T) {
-	playWords(t, "testdata/platform/server_limits")
+	playReports(t, "testdata/platform/server_limits")
 }
 
-// limit has servers name a limit from now on, or none.
-func (p *wordSite) limit(servers []string, limit string) string {
+// setLimit has servers report a rate limit from now on, or none.
+func (p *reportSite) setLimit(servers []string, limit string) string {
 	p.t.Helper()
 	for _, name := range servers {
 		p.setFaults(p.backends[name], standin.RoutedFaults{Limit: limit})
 		delete(p.limits, name)
-		delete(p.from, name)
+		delete(p.limitFrom, name)
 		var n float64
 		if _, err := fmt.Sscan(limit, &n); err == nil {
 			p.limits[name] = n
@@ -54,24 +45,24 @@
 	return "named\n"
 }
 
-// told sends calls until all fronts know what the servers say of the requests that they
-// take. From half a second later on it is looked whether the servers get more.
-func (p *wordSite) told(fronts, servers []string, target, limit string) string {
+// awaitLimits sends calls until all fronts know the servers' limits. The limits are checked from
+// limitGrace later on.
+func (p *reportSite) awaitLimits(fronts, servers []string, target, limit string) string {
 	p.t.Helper()
 	for _, front := range fronts {
-		p.waitFor(front+" is told of the limits", func() bool {
-			p.callAtOnce(front, target)
-			return p.knows(front, servers, limit)
+		p.waitFor(front+" knows the limits", func() bool {
+			p.callConcurrently(front, target)
+			return p.knowsLimit(front, servers, limit)
 		})
 	}
 	for _, name := range servers {
-		p.from[name] = time.Now().Add(toldBefore)
+		p.limitFrom[name] = time.Now().Add(limitGrace)
 	}
 	return "told\n"
 }
 
-// knows says whether a front knows what servers say of the requests that they take.
-func (p *wordSite) knows(front string, servers []string, limit string) bool {
+// knowsLimit reports whether a front knows the servers' limit.
+func (p *reportSite) knowsLimit(front string, servers []string, limit string) bool {
 	var status struct {
 		Servers []struct {
 			ID    string `json:"id"`
@@ -91,8 +82,8 @@
 	return true
 }
 
-// kept says of each server that names a limit whether it got more than it takes.
-func (p *wordSite) kept() string {
+// checkLimits reports for each server with a limit whether it received no more than allowed.
+func (p *reportSite) checkLimits() string {
 	p.t.Helper()
 	names := make([]string, 0, len(p.limits))
 	for name := range p.limits {
@@ -101,24 +92,24 @@
 	slices.Sort(names)
 	var out strings.Builder
 	for _, name := range names {
-		most, all := p.most(name)
-		allowed := int(limitSlack*limitSpan.Seconds()*p.limits[name] + limitExtra)
+		most, all := p.maxArrivals(name)
+		allowed := int(limitFactor*limitSpan.Seconds()*p.limits[name] + limitExtra)
 		p.t.Logf("%s: %d calls, at most %d in %s, %d allowed", name, all, most, limitSpan, allowed)
 		fmt.Fprintf(&out, "%s kept=%t used=%t\n", name, most <= allowed, all > 0)
 	}
 	return out.String()
 }
 
-// most gives the most calls that a server got in the span of its limit since all fronts were
-// told, and how many in all.
-func (p *wordSite) most(server string) (most, all int) {
+// maxArrivals returns the most calls that a server received in one limitSpan since all fronts
+// know its limit, and how many in all.
+func (p *reportSite) maxArrivals(server string) (most, all int) {
 	p.t.Helper()
-	if p.from[server].IsZero() {
+	if p.limitFrom[server].IsZero() {
 		return 0, 0
 	}
 	var arrivals []time.Time
 	for _, one := range p.arrivals(server) {
 		arrivals = append(arrivals, one.At)
 	}
-	return mostIn(arrivals, p.from[server], time.Now())
+	return maxInSpan(arrivals, p.limitFrom[server], time.Now())
 }
--- a/tests/platform_site_test.go
+++ b/tests/platform_site_test.go
@@ -18,7 +18,7 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// platformDocument is what the operators of the platform site put on its store.
+// platformDocument is the routing document on the site's store; %d is its version.
 const platformDocument = `{"version": %d,
  "routes": [
   {"name": "quick", "host": "yard.example", "pathPrefix": "/safe/", "kind": "safe", "timeoutMs": 5000, "sloMs": 1000, "priority": 1, "service": "app", "maxAttempts": 2},
@@ -32,13 +32,13 @@
   {"name": "small", "apiKeys": ["small-key"], "unit": "tokens", "plainTokens": 200, "ratePerS": 10, "burst": 100},
   {"name": "busy", "apiKeys": ["busy-key"], "unit": "tokens", "plainTokens": 200, "ratePerS": 1000}]}`
 
-// platformSite is fronts, backend servers and the store as separate processes.
+// platformSite consists of fronts, backend servers and the store as separate processes.
 type platformSite struct {
 	*site
 	store  *process
 	fronts map[string]*process
-	// more are settings of the fronts beyond those of frontSettings, as YAML lines.
-	more string
+	// extraSettings are settings of the fronts beyond those of frontSettings, as YAML lines.
+	extraSettings string
 }
 
 // newPlatformSite starts a store, two backend servers for each service, and fronts.
@@ -66,7 +66,7 @@
 	return p
 }
 
-// putDocument puts the first version of the document on the store.
+// putDocument writes the first version of the document to the store.
 func (p *platformSite) putDocument() {
 	p.t.Helper()
 	p.put("keyed.op", "config", fmt.Appendf(nil, platformDocument, 1))
@@ -101,7 +101,7 @@
 	p.post("http://"+of.address("standin")+"/control", data)
 }
 
-// addServer starts a backend server, named after its service, and lists it.
+// addServer starts a backend server, named after its service, and writes its record.
 func (p *platformSite) addServer(name string, args ...string) {
 	p.t.Helper()
 	p.backends[name] = startProcess(p.t, name, "standin", append([]string{"routed", "--instance", name}, args...)...)
@@ -126,7 +126,7 @@
 stop_notice: 1s
 log_lines: 5000
 retry_window: 1ms # as a fleet that has run for a while
-%s`, name, p.store.address("standin"), processFleetKey, p.more)
+%s`, name, p.store.address("standin"), processFleetKey, p.extraSettings)
 }
 
 func (p *platformSite) startFront(name string) {
@@ -134,8 +134,8 @@
 	p.fronts[name] = startProcess(p.t, name, "runworks", "front", "--settings", p.settingsFile(name, p.frontSettings(name)))
 }
 
-// startAll starts fronts at once and waits until the balancer would send callers.
-func (p *platformSite) startAll(names []string) string {
+// startFronts starts fronts concurrently and waits until their readiness check succeeds.
+func (p *platformSite) startFronts(names []string) string {
 	p.t.Helper()
 	for _, name := range names {
 		p.startFront(name)
@@ -146,8 +146,8 @@
 	return "ready\n"
 }
 
-// killAll ends fronts without a word, at once.
-func (p *platformSite) killAll(names []string) string {
+// killFronts kills fronts concurrently with SIGKILL.
+func (p *platformSite) killFronts(names []string) string {
 	p.t.Helper()
 	for _, name := range names {
 		p.fronts[name].signal(syscall.SIGKILL)
@@ -158,7 +158,7 @@
 	return "ended\n"
 }
 
-// ready asks a front as the balancer does.
+// ready returns the status of the readiness check of a front, as the balancer requests it.
 func (p *platformSite) ready(name string) int {
 	return readyStatus(p.fronts[name])
 }
@@ -176,15 +176,15 @@
 	})
 }
 
-// platformCall is one caller's request at a front.
+// platformCall is one caller's request to a front.
 type platformCall struct {
 	id, method, target, key string
 	header                  http.Header
 	body                    []byte
 }
 
-// request builds the call's request; its body can't be read twice, so that the
-// client never sends it again by itself.
+// request returns the call's request; its body can't be read twice, so that the client never
+// repeats it by itself.
 func (c *platformCall) request(ctx context.Context, address string, timeout time.Duration) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+address+"/", io.NopCloser(bytes.NewReader(c.body)))
 	if err != nil {
@@ -207,7 +207,7 @@
 	return req, nil
 }
 
-// do sends a call on a connection of its own and gives the answer whole.
+// do sends a call on its own connection and returns the whole response.
 func (p *platformSite) do(front string, c platformCall) (*http.Response, []byte, error) {
 	req, err := c.request(context.Background(), p.fronts[front].address("callers"), 10*time.Second)
 	if err != nil {
@@ -224,17 +224,16 @@
 	return res, data, err
 }
 
-// calls gives what a backend server ran.
+// calls returns the calls that a backend server ran.
 func (p *platformSite) calls(server string) []standin.RoutedCall {
 	p.t.Helper()
 	var out []standin.RoutedCall
 	if !getJSON("http://"+p.backends[server].address("standin")+"/calls", &out) {
-		p.t.Fatalf("%s does not tell its calls", server)
+		p.t.Fatalf("%s: no calls", server)
 	}
 	return out
 }
 
-// writeSettings changes a front's settings file.
 func (p *platformSite) writeSettings(name, text string) {
 	p.t.Helper()
 	if err := os.WriteFile(filepath.Join(p.dir, name+".yaml"), []byte(text), 0o600); err != nil {
--- a/tests/platform_test.go
+++ b/tests/platform_test.go
@@ -28,9 +28,9 @@
 	{http.MethodPost, "/chat/long/%%41/%d?events=9", "yard-key", 9},
 }
 
-// TestPlatformCalls sends 200 calls of all five kinds at once through two fronts
-// to separate processes, while servers turn calls away and send answers that
-// belong to nobody, and compares each answer with its own request.
+// TestPlatformCalls sends 200 concurrent calls of all five kinds through two fronts to separate
+// processes, while servers reject calls and send responses that belong to no request, and
+// compares each response with its own request.
 func TestPlatformCalls(t *testing.T) {
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1", "front-2")
@@ -47,12 +47,12 @@
 	for name := range p.backends {
 		for _, one := range p.calls(name) {
 			ran[one.ID]++
-			is.Equal(one.Header.Get("X-Credential"), "")          // the key stays here
+			is.Equal(one.Header.Get("X-Credential"), "")          // not forwarded
 			is.Equal(one.Header.Get("Accept-Encoding"), "")       // nothing is added
 			is.Equal(one.Header.Get("X-Kv-Hold"), "")             // only runworks may set it
-			is.Equal(one.Header.Get("X-Caller-Word"), "kept")     // the rest goes on
-			is.Equal(one.Header.Get("X-Only-Here"), "")           // named by Connection
-			is.True(one.Customer == "yard" || one.Customer == "") // never the caller's own word
+			is.Equal(one.Header.Get("X-Caller-Word"), "kept")     // other headers are forwarded
+			is.Equal(one.Header.Get("X-Only-Here"), "")           // listed in Connection
+			is.True(one.Customer == "yard" || one.Customer == "") // never the caller's own value
 		}
 	}
 	is.Equal(len(ran), calls)
@@ -63,7 +63,7 @@
 	}
 }
 
-// checkCall sends the call of a number and compares its answer.
+// checkCall sends the i-th call and checks its response.
 func (p *platformSite) checkCall(t *testing.T, i int) {
 	kind := platformTargets[i%len(platformTargets)]
 	c := platformCall{id: fmt.Sprintf("call-%03d", i), method: kind.method, target: fmt.Sprintf(kind.target, i), key: kind.key}
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestPlatformFailures breaks answers off and sees that nothing looks whole that
-// is not, that what may run once runs once, and that a resumable stream goes on.
+// TestPlatformFailures breaks responses off and checks that none looks complete that is not, that
+// a call that is not repeatable runs once, and that a resumable stream is resumed.
 func TestPlatformFailures(t *testing.T) {
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1")
@@ -104,18 +104,18 @@
 	}
 	res, _, err := p.do("front-1", platformCall{id: "cut", method: http.MethodPost, target: "/once/cut", key: "yard-key"})
 	is.NoErr(err)
-	is.Equal(res.StatusCode, http.StatusBadGateway) // ran, and broke off: no promise that it did not run
+	is.Equal(res.StatusCode, http.StatusBadGateway) // it ran and broke off, so the response must not promise that it did not run
 	res, data, err := p.do("front-1", platformCall{id: "again", method: http.MethodGet, target: "/safe/again", key: "yard-key"})
 	is.NoErr(err)
-	is.Equal(res.StatusCode, http.StatusOK) // repeatable: the other server answers, or this one again
+	is.Equal(res.StatusCode, http.StatusOK) // repeatable, so sent again to either server
 	is.Equal(string(data), string(standin.RoutedResponseBody("again", http.MethodGet, "/safe/again", nil)))
 	for _, name := range []string{"llm-1", "llm-2"} {
 		p.setFaults(p.backends[name], standin.RoutedFaults{BreakAt: 4, Breaks: 1})
 	}
 	_, data, err = p.do("front-1", platformCall{id: "stream", method: http.MethodPost, target: "/chat/1?events=6", key: "yard-key"})
-	is.True(err != nil) // the answer must not look whole
+	is.True(err != nil) // the response must not look complete
 	is.Equal(strings.Count(string(data), "\n\n"), 3)
-	is.True(strings.HasSuffix(string(data), "\n\n")) // whole events only
+	is.True(strings.HasSuffix(string(data), "\n\n")) // complete events only
 	target := "/chat/long/2?events=6"
 	res, data, err = p.do("front-1", platformCall{id: "resumed", method: http.MethodPost, target: target, key: "yard-key"})
 	is.NoErr(err)
@@ -126,9 +126,9 @@
 	is.Equal(strings.Count(string(data), "\n\n"), 6)
 }
 
-// TestPlatformRefusals sends calls that are refused, from a data file: method,
-// target, key, size of the body and of a header; the answer's status, whether it
-// says when to come back, and what the log tells.
+// TestPlatformRefusals sends calls that are refused, from a data file with method, target, key,
+// and sizes of the body and a header, and checks the response's status and whether it has a
+// Retry-After.
 func TestPlatformRefusals(t *testing.T) {
 	p := newPlatformSite(t, "front-1")
 	n := 0
@@ -156,8 +156,8 @@
 	})
 }
 
-// TestPlatformStoreDownAtStart starts a front while the store is down: it is not
-// ready, refuses calls as not run, and serves once the store is back.
+// TestPlatformStoreDownAtStart starts a front while the store is down: it is not ready and
+// refuses calls as not run, and serves once the store is up again.
 func TestPlatformStoreDownAtStart(t *testing.T) {
 	is := is.New(t)
 	p := newBarePlatformSite(t)
@@ -179,14 +179,14 @@
 	res, _, err = p.do("front-1", c)
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK)
-	p.waitFor("the store's return is logged", func() bool {
+	p.waitFor("the store's recovery is logged", func() bool {
 		return strings.Contains(p.fronts["front-1"].outputText(), `"@message":"dependency regained"`)
 	})
 }
 
-// TestPlatformChanges puts bad and good documents and server lists on the store: a
-// bad document leaves the one in force, a key taken away is refused, a server that
-// leaves gets nothing more.
+// TestPlatformChanges writes invalid and valid documents and server records to the store: an
+// invalid document leaves the active one unchanged, a deleted key is refused, and a draining
+// server receives no more calls.
 func TestPlatformChanges(t *testing.T) {
 	is := is.New(t)
 	p := newPlatformSite(t, "front-1", "front-2")
@@ -198,9 +198,9 @@
 	c := platformCall{id: "in-force", method: http.MethodGet, target: "/safe/1", key: "yard-key"}
 	res, _, err := p.do("front-1", c)
 	is.NoErr(err)
-	is.Equal(res.StatusCode, http.StatusOK) // the document in force stays
+	is.Equal(res.StatusCode, http.StatusOK) // the active document is unchanged
 	p.listServer("app-1", "draining")
-	p.waitFor("the leaving is logged", func() bool { return strings.Contains(front.outputText(), "backend server draining or removed") })
+	p.waitFor("the draining is logged", func() bool { return strings.Contains(front.outputText(), "backend server draining or removed") })
 	before := len(p.calls("app-1"))
 	for i := range 20 {
 		c.id = fmt.Sprintf("after-%d", i)
@@ -218,8 +218,8 @@
 	}
 }
 
-// TestPlatformPlannedStop stops a front while it passes streams on: it turns red
-// at once, goes on taking calls, cuts none, and ends by itself.
+// TestPlatformPlannedStop stops a front while it forwards streams: its readiness check fails at
+// once, it still accepts calls, cuts none, and exits by itself.
 func TestPlatformPlannedStop(t *testing.T) {
 	is := is.New(t)
 	p := newBarePlatformSite(t)
@@ -240,18 +240,18 @@
 	}
 	p.waitFor("the streams run", func() bool { return len(p.calls("llm-1")) == 5 })
 	p.fronts["front-1"].signal(syscall.SIGTERM)
-	p.waitFor("the front is red", func() bool { return p.ready("front-1") == http.StatusServiceUnavailable })
+	p.waitFor("the front is not ready", func() bool { return p.ready("front-1") == http.StatusServiceUnavailable })
 	res, _, err := p.do("front-1", platformCall{id: "late", method: http.MethodGet, target: "/safe/1", key: "yard-key"})
 	is.NoErr(err)
 	is.Equal(res.StatusCode, http.StatusOK)
-	is.True(res.Close) // the caller is asked to leave
+	is.True(res.Close) // the caller is asked to close its connection
 	wg.Wait()
 	p.fronts["front-1"].waitExit()
 	is.True(strings.Contains(p.fronts["front-1"].outputText(), `"@message":"stopped"`))
 }
 
-// TestPlatformReload changes the settings file: bad settings leave those in force,
-// and no call is cut.
+// TestPlatformReload changes the settings file: invalid settings leave the active ones unchanged,
+// and the front stays ready.
 func TestPlatformReload(t *testing.T) {
 	p := newPlatformSite(t, "front-1")
 	front := p.fronts["front-1"]
@@ -261,15 +261,15 @@
 	p.waitFor("the refusal is logged", func() bool { return strings.Contains(front.outputText(), "settings refused") })
 	p.writeSettings("front-1", good+"retry_ratio: 0.3\n")
 	front.signal(syscall.SIGHUP)
-	p.waitFor("the reading is logged", func() bool { return strings.Contains(front.outputText(), "settings reloaded") })
+	p.waitFor("the reload is logged", func() bool { return strings.Contains(front.outputText(), "settings reloaded") })
 	if p.ready("front-1") != http.StatusOK {
-		t.Error("the front is not ready any more")
+		t.Error("front not ready after reload")
 	}
 }
 
-// TestPlatformCallerLeaves closes a caller's connection and sees the backend
-// server's work end.
-func TestPlatformCallerLeaves(t *testing.T) {
+// TestPlatformCallerDisconnects closes a caller's connection and checks that the backend server's
+// work is cancelled.
+func TestPlatformCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	p := newBarePlatformSite(t)
 	p.putDocument()
@@ -300,10 +300,10 @@
 	is.True(time.Since(left) < 5*time.Second)
 }
 
-// TestPlatformStopTakesNoLateStreams stops a front with the settings' defaults: it takes
-// streams until a balancer that asks each second has had two misses, and none that is sent
-// three seconds after the signal, as those would have to be over before its end.
-func TestPlatformStopTakesNoLateStreams(t *testing.T) {
+// TestPlatformStopRefusesLateStreams stops a front with the default settings: it accepts streams
+// until a balancer that checks every second has had two failed checks, and none sent three
+// seconds after the signal, as those would have to end before the front exits.
+func TestPlatformStopRefusesLateStreams(t *testing.T) {
 	is := is.New(t)
 	p := newBarePlatformSite(t)
 	p.putDocument()
@@ -312,7 +312,7 @@
 	text := strings.Replace(p.frontSettings("front-1"), "stop_notice: 1s\n", "", 1)
 	p.fronts["front-1"] = startProcess(t, "front-1", "runworks", "front", "--settings", p.settingsFile("front-1", text))
 	p.waitReady("front-1", 1)
-	// A front with nothing under way ends at once: one long stream keeps it answering.
+	// A front without open calls exits at once: one long stream keeps it running.
 	held := make(chan struct{})
 	go func() {
 		defer close(held)
--- a/tests/soak_check_test.go
+++ b/tests/soak_check_test.go
@@ -19,55 +19,55 @@
 )
 
 const (
-	// soakLanes is how many callers call at once, one call after the other.
-	soakLanes = 12
-	// soakTimeout is what callers allow for an answer.
+	// soakCallers is the number of concurrent callers; each sends one call at a time.
+	soakCallers = 12
+	// soakTimeout is the callers' timeout.
 	soakTimeout = 4 * time.Second
-	// soakServed is the part of calls that a calm system must serve.
-	soakServed = 0.95
-	// soakHeard is how long a change of the document may take to be in force everywhere
+	// soakServedRatio is the share of calls that must be served once all faults are over.
+	soakServedRatio = 0.95
+	// soakApplyDelay is how long a change of the document may take to be active at all fronts
 	// once all faults are over.
-	soakHeard = 2 * time.Second
+	soakApplyDelay = 2 * time.Second
 )
 
-// errNotSent says that no byte of a call left the caller.
+// errNotSent is the error of a call of which no byte was sent.
 var errNotSent = errors.New("not sent")
 
-// soakCall is a call of a caller and its end.
+// soakCall is a call and its result.
 type soakCall struct {
 	platformCall
 	events     int
 	repeatable bool
 	front      string
-	// life is the process that had the call.
-	life        *process
+	// process is the front process that the call was sent to.
+	process     *process
 	sent, ended time.Time
 	status      int
 	data        []byte
 	retryAfter  bool
-	// leaving says that by the answer its server leaves.
-	leaving bool
-	err     error
+	// draining is set if the response reports that its server drains.
+	draining bool
+	err      error
 }
 
-// soakClients are the callers of a soak; each keeps its connections until they are
-// closed to it.
+// soakClients are the callers of a soak; each reuses its connection until it is closed by the
+// front.
 type soakClients struct {
 	mu    sync.Mutex
 	calls []*soakCall
 	quit  chan struct{}
-	work  sync.WaitGroup
+	wg    sync.WaitGroup
 }
 
 func (c *soakClients) start(s *soak) {
 	c.quit = make(chan struct{})
-	for lane := range soakLanes + soakPressers {
+	for lane := range soakCallers + soakLoadCallers {
 		next, pause := s.nextCall, time.Duration(0)
-		if lane >= soakLanes {
-			next, pause = s.nextPress, soakPressPause
+		if lane >= soakCallers {
+			next, pause = s.nextLoadCall, soakLoadPause
 		}
-		draw := rand.New(rand.NewPCG(uint64(s.seed), uint64(lane)+1))
-		c.work.Go(func() {
+		rng := rand.New(rand.NewPCG(uint64(s.seed), uint64(lane)+1))
+		c.wg.Go(func() {
 			transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}
 			defer transport.CloseIdleConnections()
 			for i := 0; ; i++ {
@@ -76,13 +76,13 @@
 					return
 				default:
 				}
-				call := next(draw, lane, i)
-				call.make(transport)
+				call := next(rng, lane, i)
+				call.send(transport)
 				c.mu.Lock()
 				c.calls = append(c.calls, call)
 				c.mu.Unlock()
 				if call.status != http.StatusOK {
-					s.wait(20 * time.Millisecond) // callers do not storm
+					s.wait(20 * time.Millisecond) // limits the rate of retries
 				}
 				s.wait(pause)
 			}
@@ -92,42 +92,42 @@
 
 func (c *soakClients) stop() {
 	close(c.quit)
-	c.work.Wait()
+	c.wg.Wait()
 }
 
-// nextCall draws a call: its kind, its key, and the front, which a caller keeps for a
-// while and leaves when it is gone or not ready.
-func (s *soak) nextCall(draw *rand.Rand, lane, i int) *soakCall {
-	kind := platformTargets[draw.IntN(len(platformTargets))]
+// nextCall draws a call: its kind, its key, and the front, which a caller keeps for a while, and
+// replaces by the next one if it has exited.
+func (s *soak) nextCall(rng *rand.Rand, lane, i int) *soakCall {
+	kind := platformTargets[rng.IntN(len(platformTargets))]
 	front := s.fronts[(lane+i/20)%len(s.fronts)]
-	if life := front.process.Load(); life.ended() {
+	if process := front.process.Load(); process.ended() {
 		front = s.fronts[(lane+i/20+1)%len(s.fronts)]
 	}
-	c := &soakCall{front: front.name, life: front.process.Load(), events: kind.events}
+	c := &soakCall{front: front.name, process: front.process.Load(), events: kind.events}
 	c.platformCall = platformCall{id: fmt.Sprintf("s%d-%d-%d", s.seed, lane, i), method: kind.method, key: kind.key}
 	c.target = fmt.Sprintf(kind.target, lane*100000+i)
 	c.repeatable = strings.HasPrefix(c.target, "/safe/") || strings.HasPrefix(c.target, "/open/") || strings.HasPrefix(c.target, "/chat/long/")
 	if kind.key != "" {
-		switch draw.IntN(10) {
+		switch rng.IntN(10) {
 		case 0:
 			c.key = "never-a-key"
 		case 1, 2:
 			s.mu.Lock()
-			c.key = fmt.Sprint("turn-", max(s.version-draw.IntN(4), 0))
+			c.key = fmt.Sprint("turn-", max(s.version-rng.IntN(4), 0))
 			s.mu.Unlock()
 		}
 	}
 	if c.method == http.MethodPost {
-		c.body = bytes.Repeat([]byte{byte(i)}, draw.IntN(12000))
+		c.body = bytes.Repeat([]byte{byte(i)}, rng.IntN(12000))
 	}
 	return c
 }
 
-// make sends the call and notes how it ended.
-func (c *soakCall) make(transport *http.Transport) {
+// send sends the call and records its result.
+func (c *soakCall) send(transport *http.Transport) {
 	ctx, cancel := context.WithTimeout(context.Background(), soakTimeout)
 	defer cancel()
-	req, err := c.request(ctx, c.life.address("callers"), soakTimeout)
+	req, err := c.request(ctx, c.process.address("callers"), soakTimeout)
 	if err != nil {
 		c.err = errors.Join(errNotSent, err)
 		return
@@ -142,12 +142,12 @@
 	defer func() { _ = res.Body.Close() }()
 	c.status = res.StatusCode
 	c.retryAfter = res.Header.Get("Retry-After") != ""
-	c.leaving = res.Header.Get(standin.HeaderRoutedDraining) != ""
+	c.draining = res.Header.Get(standin.HeaderRoutedDraining) != ""
 	c.data, c.err = io.ReadAll(res.Body)
 }
 
-// whole is the answer that the call has to get.
-func (c *soakCall) whole() []byte {
+// expected returns the complete response that the call has to get.
+func (c *soakCall) expected() []byte {
 	if c.events == 0 {
 		return standin.RoutedResponseBody(c.id, c.method, c.target, c.body)
 	}
@@ -158,7 +158,7 @@
 	return out
 }
 
-// ranLines gives the lines in which a backend server told what it ran.
+// ranLines returns the lines of a backend server's output about calls that it ran.
 func ranLines(output string) []string {
 	var out []string
 	for _, line := range strings.Split(output, "\n") {
@@ -169,27 +169,27 @@
 	return out
 }
 
-// runs gives what the backend servers ran, by the call's id; and it checks that none
-// ran anything new once it had left.
+// runs returns the calls that the backend servers ran, by id, and checks that none ran new calls
+// once it had drained.
 func (s *soak) runs() map[string][]string {
 	out := map[string][]string{}
 	for _, server := range s.servers {
-		for _, life := range server.lives {
-			lines := ranLines(life.outputText())
+		for _, inc := range server.incarnations {
+			lines := ranLines(inc.outputText())
 			for _, line := range lines {
 				id, _, _ := strings.Cut(strings.TrimPrefix(line, "ran "), " ")
 				out[id] = append(out[id], line)
 			}
-			// A front that was paused or cut off hears of it later.
-			if s.planned && life.ranThen >= 0 && len(lines) > life.ranThen {
-				s.t.Errorf("%s ran %d calls more than %s after it said that it leaves", life.id, len(lines)-life.ranThen, soakLeaves)
+			// A front that was paused or cut off learns later that the server drains.
+			if s.planned && inc.ranAtDrain >= 0 && len(lines) > inc.ranAtDrain {
+				s.t.Errorf("%s ran %d calls more than %s after it was set to draining", inc.id, len(lines)-inc.ranAtDrain, soakDrainBound)
 			}
 		}
 	}
 	return out
 }
 
-// check compares what callers and servers saw with what is promised.
+// check compares what callers and servers saw with what is guaranteed.
 func (s *soak) check(calm, after time.Time) {
 	runs := s.runs()
 	kinds := map[string]int{}
@@ -197,7 +197,7 @@
 		kinds[c.outcome()]++
 		s.checkRuns(c, runs[c.id])
 		s.checkStatus(c, runs[c.id])
-		s.checkWhole(c)
+		s.checkAnswer(c)
 		if s.planned && len(runs[c.id]) > 0 && (c.status == 0 || c.err != nil) {
 			s.t.Errorf("%s at %s was cut by planned work: %v, %d bytes, sent at %.2f s, ended after %s", c.id, c.front, c.err, len(c.data), c.sent.Sub(s.began).Seconds(), c.ended.Sub(c.sent))
 		}
@@ -209,16 +209,16 @@
 	s.checkCalm(calm, after)
 	s.checkLimit()
 	s.checkServerLimits()
-	s.checkWords()
+	s.checkReports()
 	s.checkVersions()
-	s.checkOrder()
+	s.checkVersionOrder()
 	s.checkProcesses()
-	s.checkTrap()
+	s.checkDecoy()
 	s.t.Logf("planned %t, %d calls: %v", s.planned, len(s.clients.calls), kinds)
 }
 
-// checkCalm checks that all is served, and the newest document in force, once all
-// faults are over.
+// checkCalm checks that calls are served and the newest document is active once all faults are
+// over.
 func (s *soak) checkCalm(calm, after time.Time) {
 	served, asked := 0, 0
 	for _, c := range s.clients.calls {
@@ -229,11 +229,11 @@
 				served++
 			}
 		}
-		if c.sent.After(calm.Add(soakHeard)) && c.err == nil && (c.status == http.StatusUnauthorized) == allowed {
+		if c.sent.After(calm.Add(soakApplyDelay)) && c.err == nil && (c.status == http.StatusUnauthorized) == allowed {
 			s.t.Errorf("%s with key %q got %d in calm time; document %d", c.id, c.key, c.status, s.version)
 		}
 	}
-	if asked == 0 || float64(served) < soakServed*float64(asked) {
+	if asked == 0 || float64(served) < soakServedRatio*float64(asked) {
 		s.t.Errorf("%d of %d calls were served after all faults were over", served, asked)
 	}
 }
@@ -248,13 +248,13 @@
 	return fmt.Sprint(c.status)
 }
 
-// allowedNow says whether the newest document allows the call.
+// allowedNow reports whether the newest document allows the call.
 func (s *soak) allowedNow(c *soakCall) bool {
 	return c.key == "" || c.key == "yard-key" || c.key == keyBusy || c.key == fmt.Sprint("turn-", s.version) || c.key == fmt.Sprint("turn-", s.version-1)
 }
 
-// checkRuns checks what ran of a call: as it was sent, for its customer, and not more
-// often than it may.
+// checkRuns checks what ran of a call: as it was sent, for its customer, and at most as often as
+// its kind allows.
 func (s *soak) checkRuns(c *soakCall, ran []string) {
 	want := fmt.Sprintf("ran %s %s %s ", c.id, c.method, c.target)
 	customer := `""`
@@ -278,15 +278,15 @@
 	}
 }
 
-// checkStatus checks that the answer's status is true.
+// checkStatus checks that the status is consistent with what ran.
 func (s *soak) checkStatus(c *soakCall, ran []string) {
 	switch c.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if len(ran) > 0 {
-			s.t.Errorf("%s was told that it did not run (%d): %q", c.id, c.status, ran)
+			s.t.Errorf("%s ran but its response says that it did not (%d): %q", c.id, c.status, ran)
 		}
 		if c.err == nil && !c.retryAfter {
-			s.t.Errorf("%s was not told when to come back (%d)", c.id, c.status)
+			s.t.Errorf("%s got no Retry-After (%d)", c.id, c.status)
 		}
 	case http.StatusNotFound:
 		s.t.Errorf("%s was refused with %d", c.id, c.status)
@@ -297,22 +297,23 @@
 	}
 }
 
-// checkWhole checks that a success is the call's own whole answer, or looks broken.
-func (s *soak) checkWhole(c *soakCall) {
+// checkAnswer checks that a successful response is the call's own and complete, or recognizably
+// broken off.
+func (s *soak) checkAnswer(c *soakCall) {
 	if c.status != http.StatusOK {
 		return
 	}
-	if c.err == nil && !bytes.Equal(c.data, c.whole()) {
-		s.t.Errorf("%s got a wrong answer that looks whole: %q", c.id, c.data)
+	if c.err == nil && !bytes.Equal(c.data, c.expected()) {
+		s.t.Errorf("%s got a wrong response that looks complete: %q", c.id, c.data)
 	}
-	if c.err != nil && c.events > 0 && !bytes.HasPrefix(c.whole(), c.data) {
-		s.t.Errorf("%s got events that are not the first of its own: %q", c.id, c.data)
+	if c.err != nil && c.events > 0 && !bytes.HasPrefix(c.expected(), c.data) {
+		s.t.Errorf("%s got events other than the first of its own stream: %q", c.id, c.data)
 	}
 }
 
-// checkProcesses looks for fronts that ended by themselves or complained of a panic.
+// checkProcesses checks that no front exited unexpectedly or logged a panic.
 func (s *soak) checkProcesses() {
-	for _, what := range s.ends {
+	for _, what := range s.unexpected {
 		s.t.Error(what)
 	}
 	for _, f := range s.fronts {
@@ -326,10 +327,11 @@
 	}
 }
 
-// soakControl is for calls to processes that may be paused.
+// soakControl is the client for processes that may be paused.
 var soakControl = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// readyStatus asks a front as the balancer does; 0 is no answer.
+// readyStatus returns the status of a front's readiness check, as the balancer requests it; 0
+// without a response.
 func readyStatus(front *process) int {
 	res, err := soakControl.Get("http://" + front.address("balancer") + "/-/ready")
 	if err != nil {
@@ -339,7 +341,7 @@
 	return res.StatusCode
 }
 
-// trySetFaults sets the faults of a stand-in, unless it is paused.
+// trySetFaults sets the faults of a stand-in; errors are ignored, as it may be paused.
 func trySetFaults(of *process, faults any) {
 	data, err := json.Marshal(faults)
 	if err != nil {
@@ -350,24 +352,24 @@
 	}
 }
 
-// catcher gathers the errors that a check tells.
-type catcher struct {
+// errorRecorder records the errors that a check reports.
+type errorRecorder struct {
 	testing.TB
 	errs []string
 }
 
 // Errorf implements testing.TB.
-func (c *catcher) Errorf(format string, args ...any) {
+func (c *errorRecorder) Errorf(format string, args ...any) {
 	c.errs = append(c.errs, fmt.Sprintf(format, args...))
 }
 
-// TestSoakCatches shows the soak's checks find each kind of breach, and nothing in a
-// call that is as promised.
-func TestSoakCatches(t *testing.T) {
+// TestSoakChecks checks that the soak's checks report each kind of violation, and nothing for a
+// correct call.
+func TestSoakChecks(t *testing.T) {
 	good := func() *soakCall {
 		c := &soakCall{status: http.StatusOK}
 		c.platformCall = platformCall{id: "c", method: http.MethodPost, target: "/once/1", key: "yard-key", body: []byte("x")}
-		c.data = c.whole()
+		c.data = c.expected()
 		return c
 	}
 	ran := func(c *soakCall) string {
@@ -375,7 +377,7 @@
 	}
 	stream := func(c *soakCall) {
 		c.target, c.events = "/chat/1?events=3", 3
-		c.data = c.whole()
+		c.data = c.expected()
 	}
 	cases := []struct {
 		name  string
@@ -392,7 +394,7 @@
 		{"another target", func(c *soakCall) []string {
 			line := ran(c)
 			c.target = "/once/2"
-			c.data = c.whole()
+			c.data = c.expected()
 			return []string{line}
 		}, true},
 		{"the wrong customer", func(c *soakCall) []string { return []string{strings.Replace(ran(c), "yard", "small", 1)} }, true},
@@ -423,13 +425,13 @@
 		}, true},
 	}
 	for _, one := range cases {
-		caught := &catcher{TB: t}
+		caught := &errorRecorder{TB: t}
 		s := &soak{platformSite: &platformSite{site: &site{t: caught}}, keys: map[string]bool{}}
 		c := good()
 		lines := one.seen(c)
 		s.checkRuns(c, lines)
 		s.checkStatus(c, lines)
-		s.checkWhole(c)
+		s.checkAnswer(c)
 		if (len(caught.errs) > 0) != one.wrong {
 			t.Errorf("%s: %q", one.name, caught.errs)
 		}
--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -9,28 +9,28 @@
 	"github.com/runworks/runworks/standin"
 )
 
-// soakStep is something done at a time from the schedule's begin.
+// soakStep is an action at a time after the start of the schedule.
 type soakStep struct {
 	at   time.Duration
 	name string
 	do   func()
 }
 
-// soakFault is a fault with its begin and its end.
+// soakFault is a fault with the functions that start and end it.
 type soakFault struct {
 	name       string
 	begin, end func()
-	// lasts is how long it lasts; zero draws it.
-	lasts time.Duration
+	// duration is how long it lasts; 0 for a random time.
+	duration time.Duration
 }
 
-// schedule draws the faults: they come in series and overlap.
+// schedule draws the faults, which may overlap, and returns their steps in order of time.
 func (s *soak) schedule() []soakStep {
 	kinds := []func() soakFault{s.stopFront, s.reload, s.changeDocument, s.drainServer}
 	switch {
 	case s.planned:
-	case s.namesLimits(), s.saysWords():
-		kinds = append(kinds, s.besideLimits()...)
+	case s.reportsLimits(), s.sendsReports():
+		kinds = append(kinds, s.faultsWithReports()...)
 	default:
 		kinds = append(kinds, s.killFront, s.pauseFront, s.cutStore, s.cutServer, s.killServer, s.pauseServer, s.breakServer, s.breakStore, s.pauseStore, s.killAllFronts)
 	}
@@ -39,25 +39,25 @@
 		fault := kinds[s.rand.IntN(len(kinds))]()
 		at := time.Duration(s.rand.Int64N(int64(*soakTime)))
 		lasts := 100*time.Millisecond + time.Duration(s.rand.Int64N(int64(2500*time.Millisecond)))
-		if fault.lasts > 0 {
-			lasts = fault.lasts
+		if fault.duration > 0 {
+			lasts = fault.duration
 		}
 		steps = append(steps, soakStep{at: at, name: fault.name, do: fault.begin})
 		if fault.end != nil {
 			steps = append(steps, soakStep{at: at + lasts, name: fault.name + " is over", do: fault.end})
 		}
 	}
-	if s.tellsStarts() {
+	if s.reportsGeneration() {
 		steps = append(steps, s.recordFaults()...)
 	}
-	if s.namesLimits() {
+	if s.reportsLimits() {
 		steps = append(steps, s.limitFaults()...)
 	}
-	if s.saysWords() {
-		steps = append(steps, s.wordFaults()...)
+	if s.sendsReports() {
+		steps = append(steps, s.reportFaults()...)
 	}
-	if s.storeReturns() {
-		steps = append(steps, s.returnFaults()...)
+	if s.restoresStore() {
+		steps = append(steps, s.restoreFaults()...)
 	}
 	sort.SliceStable(steps, func(i, j int) bool { return steps[i].at < steps[j].at })
 	return steps
@@ -66,7 +66,7 @@
 func (s *soak) anyFront() *soakFront   { return s.fronts[s.rand.IntN(len(s.fronts))] }
 func (s *soak) anyServer() *soakServer { return s.servers[s.rand.IntN(len(s.servers))] }
 
-// stopFront stops a front as planned; it is started again once it has ended.
+// stopFront stops a front as planned; it is restarted once it has exited.
 func (s *soak) stopFront() soakFault {
 	f := s.anyFront()
 	return soakFault{name: "planned stop of " + f.name, begin: func() {
@@ -87,29 +87,29 @@
 	return soakFault{name: "new document", begin: s.publish}
 }
 
-// drainServer lets a server say that it leaves; a new life follows at its address
-// after its end.
+// drainServer sets a server's record to draining; a new server is started at its address when all
+// faults are cleared.
 func (s *soak) drainServer() soakFault {
 	server := s.anyServer()
-	return soakFault{name: "a server of " + server.service + " leaves", lasts: soakLeaves + 100*time.Millisecond, begin: func() {
-		life := server.life()
-		if life.ended() || !life.left.IsZero() || life.speaks || s.leaving(server.service) {
+	return soakFault{name: "a server of " + server.service + " leaves", duration: soakDrainBound + 100*time.Millisecond, begin: func() {
+		life := server.current()
+		if life.ended() || !life.drainingSince.IsZero() || life.reporting || s.hasDraining(server.service) {
 			return
 		}
-		s.list(server, "draining")
-		life.left = time.Now()
+		s.putRecord(server, "draining")
+		life.drainingSince = time.Now()
 	}, end: func() {
-		life := server.life()
-		if life.ranThen < 0 && !life.left.IsZero() && time.Since(life.left) > soakLeaves {
-			life.ranThen = len(ranLines(life.outputText()))
+		life := server.current()
+		if life.ranAtDrain < 0 && !life.drainingSince.IsZero() && time.Since(life.drainingSince) > soakDrainBound {
+			life.ranAtDrain = len(ranLines(life.outputText()))
 		}
 	}}
 }
 
-// leaving says whether a server of the service leaves already: one is to stay.
-func (s *soak) leaving(service string) bool {
+// hasDraining reports whether a server of the service is draining already: at most one may.
+func (s *soak) hasDraining(service string) bool {
 	for _, one := range s.servers {
-		if one.service == service && (!one.life().left.IsZero() || one.life().leaves) {
+		if one.service == service && (!one.current().drainingSince.IsZero() || one.current().reportsDraining) {
 			return true
 		}
 	}
@@ -121,7 +121,7 @@
 	return soakFault{name: "kill of " + f.name, begin: func() {
 		f.stopping = true
 		f.process.Load().signalIfAlive(syscall.SIGKILL)
-		s.noteLost()
+		s.noteUsageLost()
 	}, end: func() { s.restart(f) }}
 }
 
@@ -134,37 +134,37 @@
 	}
 }
 
-// cutting draws what a proxy does, and does it.
-func (s *soak) cutting(what string, p *proxy) soakFault {
-	mode := proxyMode(1 + s.rand.IntN(int(proxyIsSilent)))
+// proxyFault draws a fault of a proxy.
+func (s *soak) proxyFault(what string, p *proxy) soakFault {
+	mode := proxyMode(1 + s.rand.IntN(int(proxyBlocksBoth)))
 	names := []string{"", "delayed", "reset", "cut for requests", "cut for answers", "silent"}
-	return soakFault{name: "the way to " + what + " is " + names[mode], begin: func() { p.set(mode) }, end: func() { p.set(proxyPasses) }}
+	return soakFault{name: "the way to " + what + " is " + names[mode], begin: func() { p.set(mode) }, end: func() { p.set(proxyForwards) }}
 }
 
 func (s *soak) cutStore() soakFault {
 	f := s.anyFront()
-	return s.storeFault(s.cutting("the store from "+f.name, f.store))
+	return s.storeFault(s.proxyFault("the store from "+f.name, f.store))
 }
 
 func (s *soak) cutServer() soakFault {
 	server := s.anyServer()
-	return s.cutting("a server of "+server.service, server.proxy)
+	return s.proxyFault("a server of "+server.service, server.proxy)
 }
 
-// killServer kills a server; another life follows at the same address, while the
-// record of the old one may still stand.
+// killServer kills a server and starts another one at the same address, while the record of the
+// old one may still exist.
 func (s *soak) killServer() soakFault {
 	server := s.anyServer()
 	stale := s.rand.IntN(2) == 0
 	return soakFault{name: fmt.Sprintf("kill of a server of %s, record stays %t", server.service, stale), begin: func() {
-		server.life().signalIfAlive(syscall.SIGKILL)
+		server.current().signalIfAlive(syscall.SIGKILL)
 	}, end: func() {
-		life := server.life()
+		life := server.current()
 		if !life.ended() {
 			return
 		}
 		if !stale {
-			s.list(server, "")
+			s.putRecord(server, "")
 		}
 		s.startServer(server)
 	}}
@@ -174,26 +174,26 @@
 	server := s.anyServer()
 	return soakFault{
 		name:  "pause of a server of " + server.service,
-		begin: func() { server.life().signalIfAlive(syscall.SIGSTOP) },
-		end:   func() { server.life().signalIfAlive(syscall.SIGCONT) },
+		begin: func() { server.current().signalIfAlive(syscall.SIGSTOP) },
+		end:   func() { server.current().signalIfAlive(syscall.SIGCONT) },
 	}
 }
 
-// breakServer makes a server misbehave towards some calls.
+// breakServer has a server handle some calls wrongly.
 func (s *soak) breakServer() soakFault {
 	server := s.anyServer()
 	n := 1 + s.rand.IntN(5)
 	all := []standin.RoutedFaults{{Reject: n}, {Unsolicited: n}, {Reset: n}, {Unframed: n}, {Fail: n}, {BreakAt: 2 + s.rand.IntN(6), Breaks: n}}
 	faults := all[s.rand.IntN(len(all))]
 	return soakFault{name: fmt.Sprintf("a server of %s: %+v", server.service, faults), begin: func() {
-		life := server.life()
+		life := server.current()
 		if !life.ended() {
 			trySetFaults(life.process, faults)
 		}
 	}}
 }
 
-// breakStore makes the store misbehave.
+// breakStore has the store fail.
 func (s *soak) breakStore() soakFault {
 	all := []standin.StoreFaults{{Down: true}, {Unresponsive: true}, {LoseResponses: 2}, {SkipWakeups: 3}}
 	faults := all[s.rand.IntN(len(all))]
--- a/tests/soak_limit_test.go
+++ b/tests/soak_limit_test.go
@@ -11,42 +11,42 @@
 )
 
 const (
-	// soakPressers is how many callers press on the limit of the customer busy, each with
-	// a call of soakPressTokens every soakPressPause and the time of its answer.
-	soakPressers    = 2
-	soakPressTokens = 100
-	soakPressPause  = 20 * time.Millisecond
-	// soakLimit is what the document lets that customer draw in soakLimitWindow, the
-	// fronts' default.
+	// soakLoadCallers is the number of callers that keep the customer busy at its limit, each
+	// with a call of soakLoadTokens every soakLoadPause plus the time of its response.
+	soakLoadCallers = 2
+	soakLoadTokens  = 100
+	soakLoadPause   = 20 * time.Millisecond
+	// soakLimit is what the document lets that customer consume in soakLimitWindow, the fronts'
+	// default.
 	soakLimit       = 8000
 	soakLimitWindow = 8 * time.Second
-	// soakBeyond is what may run beyond the limit once the customer stood at it: what it
-	// draws between two records, which is forgotten if all fronts end at once, 0.5 s of
-	// 1,000 tokens, and what the pressers ask between heartbeats.
-	soakBeyond = 1500
-	// soakRecords is how long after a fault of the store all fronts may lack a record.
-	soakRecords = 3 * time.Second
+	// soakLimitExcess is what may be consumed above the limit once the customer reached it: what
+	// it consumes between two records, lost if all fronts are killed at once (0.5 s at 1,000
+	// tokens per second), and what the callers request between heartbeats.
+	soakLimitExcess = 1500
+	// soakRecordLag is how long after a fault of the store all fronts may be without a record.
+	soakRecordLag = 3 * time.Second
 )
 
-// keyBusy is the key of the customer that stands at its limit.
+// keyBusy is the key of the customer that calls at its limit.
 const keyBusy = "busy-key"
 
-// nextPress draws the next call of a caller that presses on the limit.
-func (s *soak) nextPress(draw *rand.Rand, lane, i int) *soakCall {
-	c := s.nextCall(draw, lane, i)
+// nextLoadCall draws the next call of the customer that calls at its limit.
+func (s *soak) nextLoadCall(rng *rand.Rand, lane, i int) *soakCall {
+	c := s.nextCall(rng, lane, i)
 	c.method, c.target, c.key, c.body, c.events, c.repeatable = http.MethodGet, fmt.Sprintf("/safe/press/%d/%d", lane, i), keyBusy, nil, 0, true
-	c.header = http.Header{"X-Token-Counts": {strconv.Itoa(soakPressTokens) + ",0"}}
+	c.header = http.Header{"X-Token-Counts": {strconv.Itoa(soakLoadTokens) + ",0"}}
 	return c
 }
 
-// killAllFronts ends all fronts at once; only the store knows then what was drawn.
+// killAllFronts kills all fronts at once; afterwards only the store knows what was consumed.
 func (s *soak) killAllFronts() soakFault {
 	return soakFault{name: "kill of all fronts", begin: func() {
 		for _, f := range s.fronts {
 			f.stopping = true
 			f.process.Load().signalIfAlive(syscall.SIGKILL)
 		}
-		s.noteLost()
+		s.noteUsageLost()
 	}, end: func() {
 		for _, f := range s.fronts {
 			s.restart(f)
@@ -54,7 +54,7 @@
 	}}
 }
 
-// storeFault has a fault of the store noted.
+// storeFault adds the bookkeeping of store faults to a fault.
 func (s *soak) storeFault(f soakFault) soakFault {
 	begin, end := f.begin, f.end
 	f.begin = func() {
@@ -63,31 +63,31 @@
 	}
 	f.end = func() {
 		s.storeFaults--
-		s.storeBad = time.Now()
+		s.lastStoreFault = time.Now()
 		end()
 	}
 	return f
 }
 
-// noteLost notes that nobody knows any more what was drawn: no front lives on, and the
-// store may hold no record of late.
-func (s *soak) noteLost() {
+// noteUsageLost sets usageLost if the consumption may be unknown: no front is left, and the store
+// may have no recent record.
+func (s *soak) noteUsageLost() {
 	for _, f := range s.fronts {
 		if !f.stopping {
 			return
 		}
 	}
-	s.lostUse = s.lostUse || s.storeFaults > 0 || time.Since(s.storeBad) < soakRecords
+	s.usageLost = s.usageLost || s.storeFaults > 0 || time.Since(s.lastStoreFault) < soakRecordLag
 }
 
-// checkLimit checks that the customer that presses on its limit got no more than that
-// in any window since it stood there first, by the calls that were sent and answered in it.
+// checkLimit checks that the customer that calls at its limit got no more than that in any window
+// since it first reached the limit, by the calls that were sent and answered in the window.
 func (s *soak) checkLimit() {
-	if s.lostUse {
-		s.t.Log("all fronts ended beside a fault of the store: the limit is not checked")
+	if s.usageLost {
+		s.t.Log("all fronts were killed during a fault of the store: the limit is not checked")
 		return
 	}
-	calls, reached := s.pressed()
+	calls, reached := s.loadCalls()
 	for _, first := range calls {
 		if first.sent.Before(reached) {
 			continue
@@ -95,19 +95,19 @@
 		tokens := 0
 		for _, c := range calls {
 			if !c.sent.Before(first.sent) && c.ended.Sub(first.sent) < soakLimitWindow {
-				tokens += soakPressTokens
+				tokens += soakLoadTokens
 			}
 		}
-		if tokens > soakLimit+soakBeyond {
+		if tokens > soakLimit+soakLimitExcess {
 			s.t.Errorf("%d tokens of one customer ran in %s from %.2f s, its limit is %d", tokens, soakLimitWindow, first.sent.Sub(s.began).Seconds(), soakLimit)
 			return
 		}
 	}
 }
 
-// pressed gives the calls of the customer that presses on its limit which were served,
-// and when one was refused first.
-func (s *soak) pressed() (served []*soakCall, reached time.Time) {
+// loadCalls returns the served calls of the customer that calls at its limit, and when one was
+// refused first.
+func (s *soak) loadCalls() (served []*soakCall, reached time.Time) {
 	for _, c := range s.clients.calls {
 		switch {
 		case c.key != keyBusy:
@@ -120,14 +120,14 @@
 	return served, reached
 }
 
-// TestSoakCatchesOverdraw shows the soak's check of a limit find calls beyond it, and
-// nothing in as many over a longer time.
-func TestSoakCatchesOverdraw(t *testing.T) {
+// TestSoakChecksLimit checks that the soak's check of a limit reports calls above it, and nothing
+// for as many calls over a longer time.
+func TestSoakChecksLimit(t *testing.T) {
 	for _, one := range []struct {
 		every time.Duration
 		wrong bool
 	}{{80 * time.Millisecond, true}, {90 * time.Millisecond, false}} {
-		caught := &catcher{TB: t}
+		caught := &errorRecorder{TB: t}
 		s := &soak{platformSite: &platformSite{site: &site{t: caught}}, began: time.Now()}
 		for i := range 200 {
 			sent := s.began.Add(time.Duration(i) * one.every)
--- a/tests/soak_proxy_test.go
+++ b/tests/soak_proxy_test.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// proxyMode is what a proxy does with what passes it.
+// proxyMode is how a proxy handles the data that it forwards.
 type proxyMode int
 
 const (
-	proxyPasses proxyMode = iota
-	// proxyDelays holds every piece for proxyDelay.
+	proxyForwards proxyMode = iota
+	// proxyDelays delays each piece of data by proxyDelay.
 	proxyDelays
-	// proxyResets resets all connections, and new ones at once.
+	// proxyResets resets all open connections, and new ones immediately.
 	proxyResets
-	// proxyCutsRequests and proxyCutsAnswers hold one way, as a cut does: what is held
-	// goes on when the cut is over, unless an end gave up.
-	proxyCutsRequests
-	proxyCutsAnswers
-	// proxyIsSilent holds both ways.
-	proxyIsSilent
+	// proxyBlocksRequests and proxyBlocksAnswers hold back one direction, as a network
+	// partition does: the data is delivered afterwards, unless an end closed the connection.
+	proxyBlocksRequests
+	proxyBlocksAnswers
+	// proxyBlocksBoth holds back both directions.
+	proxyBlocksBoth
 )
 
-// proxyDelay is how long a delaying proxy holds a piece.
+// proxyDelay is how long a delaying proxy holds each piece of data.
 const proxyDelay = 150 * time.Millisecond
 
-// proxy passes TCP connections on to a target on this machine.
+// proxy forwards TCP connections to a target on this machine.
 type proxy struct {
 	listener net.Listener
 
@@ -67,7 +67,7 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes what the proxy does from now on.
+// set changes the proxy's mode.
 func (p *proxy) set(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// aim sends new connections to another target.
-func (p *proxy) aim(target string) {
+// setTarget changes the target of new connections.
+func (p *proxy) setTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
@@ -95,10 +95,10 @@
 	_ = conn.Close()
 }
 
-// serve passes one connection on, both ways, until one end is closed.
+// serve forwards one connection in both directions until one end is closed.
 func (p *proxy) serve(from net.Conn) {
-	defer p.forget(from)
-	if !p.keep(from) {
+	defer p.remove(from)
+	if !p.add(from) {
 		return
 	}
 	p.mu.Lock()
@@ -109,47 +109,47 @@
 		reset(from)
 		return
 	}
-	defer p.forget(to)
-	if !p.keep(to) {
+	defer p.remove(to)
+	if !p.add(to) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(to, from, proxyCutsRequests) })
-	both.Go(func() { p.copy(from, to, proxyCutsAnswers) })
+	both.Go(func() { p.copy(to, from, proxyBlocksRequests) })
+	both.Go(func() { p.copy(from, to, proxyBlocksAnswers) })
 	both.Wait()
 }
 
-// keep notes a connection; false if it is to be reset.
-func (p *proxy) keep(conn net.Conn) bool {
+// add records a connection; it returns false if the connection is to be reset.
+func (p *proxy) add(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[conn] = struct{}{}
 	return p.mode != proxyResets
 }
 
-func (p *proxy) forget(conn net.Conn) {
+func (p *proxy) remove(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, conn)
 	reset(conn)
 }
 
-// copy passes one way on until an end is closed.
-func (p *proxy) copy(to, from net.Conn, cut proxyMode) {
+// copy forwards one direction until an end is closed.
+func (p *proxy) copy(to, from net.Conn, blocked proxyMode) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			p.hold(cut)
+			p.delay(blocked)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				reset(from)
 				return
 			}
 		}
 		if err != nil {
-			p.hold(cut)
-			// An end goes on as an end, a reset as a reset: only the first makes an
-			// answer without a length whole.
+			p.delay(blocked)
+			// EOF is forwarded as EOF and a reset as a reset: only EOF completes a
+			// response without a length.
 			if tcp, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
 				_ = tcp.CloseWrite()
 				return
@@ -160,14 +160,14 @@
 	}
 }
 
-// hold waits until a piece may pass.
-func (p *proxy) hold(cut proxyMode) {
+// delay waits until a piece of data may be forwarded.
+func (p *proxy) delay(blocked proxyMode) {
 	for {
 		p.mu.Lock()
 		mode, changed := p.mode, p.changed
 		p.mu.Unlock()
 		switch mode {
-		case cut, proxyIsSilent:
+		case blocked, proxyBlocksBoth:
 			<-changed
 			continue
 		case proxyDelays:
--- a/tests/soak_return_test.go
+++ b/tests/soak_restore_test.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// soakReturns is from which seed on the store comes back from older copies.
-	soakReturns = 500_000
-	// soakApplied is within which time of its ack a change is in force, or of when the operator
-	// wrote it again, if the store lost it.
-	soakApplied = 3 * time.Second
+	// soakRestoreSeeds is the first seed with which the store is restored from older copies.
+	soakRestoreSeeds = 500_000
+	// soakApplyBound is within which time of its acknowledgement a change is active, or of when
+	// the operator wrote it again, if the store lost it.
+	soakApplyBound = 3 * time.Second
 )
 
-// storeReturns says whether the store comes back from older copies.
-func (s *soak) storeReturns() bool { return s.seed >= soakReturns }
+// restoresStore reports whether the store is restored from older copies.
+func (s *soak) restoresStore() bool { return s.seed >= soakRestoreSeeds }
 
-// storeKey names a record on the store.
+// storeKey identifies a record on the store.
 type storeKey struct{ topic, key string }
 
-// storeReturn is a return of the store from an older copy.
-type storeReturn struct {
-	// away is when the store went away, and written when all that the platform writes there was
+// storeRestore is a restore of the store from an older copy.
+type storeRestore struct {
+	// began is when the fault started, and rewritten when all records of the platform had been
 	// written again.
-	away, written time.Time
+	began, rewritten time.Time
 }
 
-// returnFaults draws returns of the store from copies made some seconds before: it may be away
-// for a moment, and what the platform wrote is written again a moment later.
-func (s *soak) returnFaults() []soakStep {
+// restoreFaults draws restores of the store from copies made some seconds before: the store may
+// be unreachable for a moment before, and the records of the platform are written again a moment
+// later.
+func (s *soak) restoreFaults() []soakStep {
 	var steps []soakStep
 	for range 2 + s.rand.IntN(3) {
 		copied := time.Duration(s.rand.Int64N(int64(*soakTime)))
@@ -44,52 +45,52 @@
 		back := away + time.Duration(s.rand.Int64N(int64(1200*time.Millisecond)))
 		written := back + time.Duration(s.rand.Int64N(int64(1800*time.Millisecond)))
 		faults := []standin.StoreFaults{{}, {Down: true}, {Unresponsive: true}}[s.rand.IntN(3)]
-		r := &storeReturn{}
+		r := &storeRestore{}
 		fault := s.storeFault(soakFault{begin: func() {
-			r.away = time.Now()
-			s.returns = append(s.returns, r)
+			r.began = time.Now()
+			s.restores = append(s.restores, r)
 			trySetFaults(s.store, faults)
 		}, end: func() {
-			s.writeAgain()
-			r.written = time.Now()
+			s.rewriteRecords()
+			r.rewritten = time.Now()
 		}})
 		steps = append(steps,
 			soakStep{at: copied, name: "the store is copied", do: func() { s.onStore(s.copyStore) }},
-			soakStep{at: away, name: fmt.Sprintf("the store goes away: %+v", faults), do: fault.begin},
-			soakStep{at: back, name: "the store comes back from its copy", do: func() { s.onStore(s.returnStore) }},
-			soakStep{at: written, name: "the platform has written again", do: fault.end})
+			soakStep{at: away, name: fmt.Sprintf("the store fails: %+v", faults), do: fault.begin},
+			soakStep{at: back, name: "the store is restored from its copy", do: func() { s.onStore(s.restoreStore) }},
+			soakStep{at: written, name: "the platform rewrites its records", do: fault.end})
 	}
 	return steps
 }
 
-// onStore does something to the store, which wakes for it.
+// onStore calls do after it has resumed a paused store.
 func (s *soak) onStore(do func() string) {
 	s.store.signal(syscall.SIGCONT)
 	do()
 }
 
-// writeAgain writes the newest of all records again that the platform wrote.
-func (s *soak) writeAgain() {
+// rewriteRecords writes the newest of all records of the platform again.
+func (s *soak) rewriteRecords() {
 	for at, value := range s.written {
 		s.put(at.topic, at.key, value)
 	}
 }
 
-// applied gives when a version had to be in force at all fronts in touch.
-func (s *soak) applied(version int) time.Time {
-	acked := s.published[version]
-	for _, r := range s.returns {
-		if acked.Add(soakApplied).After(r.away) && acked.Before(r.written) {
-			acked = r.written
+// applyDeadline returns when a version had to be active at all fronts that can reach the store.
+func (s *soak) applyDeadline(version int) time.Time {
+	acked := s.publishedAt[version]
+	for _, r := range s.restores {
+		if acked.Add(soakApplyBound).After(r.began) && acked.Before(r.rewritten) {
+			acked = r.rewritten
 		}
 	}
-	return acked.Add(soakApplied)
+	return acked.Add(soakApplyBound)
 }
 
-// checkVersions checks that calls with keys that come and go were handled by a version that had
-// to be in force, or by a newer one.
+// checkVersions checks that calls with keys that change with the version were handled by a
+// version that had to be active, or by a newer one.
 func (s *soak) checkVersions() {
-	if !s.storeReturns() || !s.planned {
+	if !s.restoresStore() || !s.planned {
 		return
 	}
 	looked := 0
@@ -103,8 +104,8 @@
 			s.t.Fatal(err)
 		}
 		oldest, newest := 1, 1
-		for version, at := range s.published {
-			if c.sent.After(s.applied(version)) {
+		for version, at := range s.publishedAt {
+			if c.sent.After(s.applyDeadline(version)) {
 				oldest = max(oldest, version)
 			}
 			if at.Before(c.ended) {
@@ -122,11 +123,11 @@
 				c.id, c.front, c.key, c.status, c.sent.Sub(s.began).Seconds(), oldest, newest)
 		}
 	}
-	s.t.Logf("%d returns of the store, %d calls with turning keys", len(s.returns), looked)
+	s.t.Logf("%d restores of the store, %d calls with changing keys", len(s.restores), looked)
 }
 
-// checkOrder checks that no front's life went back to an older version.
-func (s *soak) checkOrder() {
+// checkVersionOrder checks that no front process went back to an older version.
+func (s *soak) checkVersionOrder() {
 	for _, f := range s.fronts {
 		last := 0
 		for line := range strings.Lines(f.process.Load().outputText()) {
@@ -148,9 +149,9 @@
 	}
 }
 
-// TestSoakCatchesOlderVersions shows the soak's check of versions find calls that were handled
-// by an older one, and nothing while a change may still be on its way.
-func TestSoakCatchesOlderVersions(t *testing.T) {
+// TestSoakChecksVersions checks that the soak's check of versions reports calls that were handled
+// by an older one, and nothing while a change may still be propagating.
+func TestSoakChecksVersions(t *testing.T) {
 	began := time.Now()
 	at := func(seconds float64) time.Time { return began.Add(time.Duration(seconds * float64(time.Second))) }
 	for _, one := range []struct {
@@ -159,16 +160,16 @@
 		status int
 		wrong  bool
 	}{
-		{1, 4, http.StatusOK, false}, {1, 4, http.StatusUnauthorized, false}, // version 3 may be in force or not
+		{1, 4, http.StatusOK, false}, {1, 4, http.StatusUnauthorized, false}, // version 3 may be active or not
 		{1, 6, http.StatusOK, true}, {1, 6, http.StatusUnauthorized, false},
 		{3, 6, http.StatusOK, false}, {3, 6, http.StatusUnauthorized, true},
 		{2, 12, http.StatusOK, false}, {2, 14.5, http.StatusOK, true}, // version 4 was lost, and written again at 11 s
 		{9, 6, http.StatusServiceUnavailable, false},
 	} {
-		caught := &catcher{TB: t}
-		s := &soak{platformSite: &platformSite{site: &site{t: caught}}, began: began, seed: soakReturns, planned: true}
-		s.published = map[int]time.Time{1: at(0), 2: at(1), 3: at(2), 4: at(9)}
-		s.returns = []*storeReturn{{away: at(10), written: at(11)}}
+		caught := &errorRecorder{TB: t}
+		s := &soak{platformSite: &platformSite{site: &site{t: caught}}, began: began, seed: soakRestoreSeeds, planned: true}
+		s.publishedAt = map[int]time.Time{1: at(0), 2: at(1), 3: at(2), 4: at(9)}
+		s.restores = []*storeRestore{{began: at(10), rewritten: at(11)}}
 		c := &soakCall{status: one.status, sent: at(one.sent), ended: at(one.sent)}
 		c.key = fmt.Sprint("turn-", one.key)
 		s.clients.calls = []*soakCall{c}
@@ -177,7 +178,7 @@
 			t.Errorf("%+v: %q", one, caught.errs)
 		}
 	}
-	if !slices.IsSorted([]int{soakTellsStarts, soakNamesLimits, soakSaysWords, soakReturns}) {
+	if !slices.IsSorted([]int{soakGenerationSeeds, soakLimitSeeds, soakReportSeeds, soakRestoreSeeds}) {
 		t.Error("the ranges of seeds overlap")
 	}
 }
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -24,21 +24,21 @@
 )
 
 const (
-	// soakSettles is the time that a calm system has to serve everything again: longer
-	// than any suspension, backoff or balancer's notice.
-	soakSettles = 6 * time.Second
-	// soakGrace is the grace of a planned stop in the fronts' settings.
+	// soakSettleTime is the time that the system has after all faults to serve all calls again:
+	// longer than any ejection, back-off or readiness delay of the balancer.
+	soakSettleTime = 6 * time.Second
+	// soakGrace is the grace period of a planned stop in the fronts' settings.
 	soakGrace = 6 * time.Second
-	// soakLeaves is within which time a server that says it leaves gets nothing new.
-	soakLeaves = 2 * time.Second
+	// soakDrainBound is within which time of its record a draining server receives no new calls.
+	soakDrainBound = 2 * time.Second
 )
 
-// TestSoak plays schedules of faults, each drawn from a seed, against the real
-// programs as separate processes, while callers go on calling. Seeds that ever failed
-// are kept in testdata/soak/seeds with the cause.
+// TestSoak plays schedules of faults, each drawn from a seed, against the real programs as
+// separate processes, while callers send calls. Seeds that ever failed are kept in
+// testdata/soak/seeds with the cause.
 func TestSoak(t *testing.T) { playSeeds(t, soakSeedList(t)) }
 
-// TestSoakOpen plays the seeds that showed faults which are not mended yet.
+// TestSoakOpen plays the seeds that show faults which are not fixed yet.
 func TestSoakOpen(t *testing.T) { playSeeds(t, readSeeds(t, "testdata/soak/open")) }
 
 func playSeeds(t *testing.T, seeds []int64) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// soakSeedList gives the seeds to play.
+// soakSeedList returns the seeds to play.
 func soakSeedList(t *testing.T) []int64 {
 	var out []int64
 	for i := range *soakSeeds {
@@ -62,7 +62,7 @@
 	return readSeeds(t, "testdata/soak/seeds")
 }
 
-// readSeeds gives the seeds of a file.
+// readSeeds returns the seeds of a file.
 func readSeeds(t *testing.T, path string) []int64 {
 	file, err := os.Open(path)
 	if err != nil {
@@ -85,38 +85,38 @@
 	*platformSite
 	seed int64
 	rand *rand.Rand
-	// planned says that the schedule holds only planned work, which may cut nothing.
+	// planned is set if the schedule contains only planned work, which may cut no call.
 	planned bool
 	fronts  []*soakFront
 	servers []*soakServer
 	clients soakClients
 	began   time.Time
-	// trap is a server that foreign records alone name; nil if there are none.
-	trap *process
+	// decoy is a server that only the records of other writers name; nil without such records.
+	decoy *process
 
 	mu sync.Mutex
-	// version is the newest document's, and keys those that some document held.
+	// version is the newest document's, and keys are those that any document contained.
 	version int
 	keys    map[string]bool
-	// ends tells of processes that ended by themselves.
-	ends []string
-	// storeFaults is how many faults of the store there are now, storeBad when the last
-	// was over, and lostUse that nobody may know what the customers drew.
-	storeFaults int
-	storeBad    time.Time
-	lostUse     bool
-	// written are the newest records that the platform wrote on the store, published when each
-	// version of the document was, and returns those of the store from older copies.
-	written   map[storeKey][]byte
-	published map[int]time.Time
-	returns   []*storeReturn
-	// limits are those that servers named, and excused the times in which what servers get
-	// does not count.
-	limits  []*soakServerLimit
-	excused []*soakSpan
+	// unexpected describes processes that exited unexpectedly or not in time.
+	unexpected []string
+	// storeFaults is the number of active faults of the store, lastStoreFault when the last one
+	// ended, and usageLost is set if no front or record may know the customers' consumption.
+	storeFaults    int
+	lastStoreFault time.Time
+	usageLost      bool
+	// written holds the newest records that the platform wrote to the store, publishedAt when
+	// each version of the document was written, and restores those of the store from older copies.
+	written     map[storeKey][]byte
+	publishedAt map[int]time.Time
+	restores    []*storeRestore
+	// limits are those that servers reported, and excluded the times in which what servers
+	// receive is not checked.
+	limits   []*soakServerLimit
+	excluded []*soakSpan
 }
 
-// soakFront is a front of the site, over its lives.
+// soakFront is a front of the site across its restarts.
 type soakFront struct {
 	name     string
 	store    *proxy
@@ -124,35 +124,35 @@
 	stopping bool
 }
 
-// soakServer is a backend server's address, over its lives.
+// soakServer is a backend server's address with the incarnations that ran there.
 type soakServer struct {
-	service string
-	proxy   *proxy
-	lives   []*soakLife
+	service      string
+	proxy        *proxy
+	incarnations []*soakIncarnation
 }
 
-// life gives the newest life.
-func (s *soakServer) life() *soakLife { return s.lives[len(s.lives)-1] }
+// current returns the newest incarnation.
+func (s *soakServer) current() *soakIncarnation { return s.incarnations[len(s.incarnations)-1] }
 
-// soakLife is one life of a backend server.
-type soakLife struct {
+// soakIncarnation is one incarnation of a backend server.
+type soakIncarnation struct {
 	*process
 	id string
-	// born is when it began, as its record tells; 0 if that is not told.
-	born int64
-	// left is when it said that it leaves; zero if it did not. ranThen is how many
-	// calls it had run when the time for that was over; negative before.
-	left    time.Time
-	ranThen int
-	// speaks says that it asks for rest or says that it leaves, in its answers, and leaves
-	// that it did say so.
-	speaks, leaves bool
+	// generation is the one in its record; 0 if the record has none.
+	generation int64
+	// drainingSince is when its record was set to draining; zero if it was not. ranAtDrain is how
+	// many calls it had run when soakDrainBound had passed; negative before.
+	drainingSince time.Time
+	ranAtDrain    int
+	// reporting is set while it asks for back-off or reports draining in its responses, and
+	// reportsDraining once it reported draining there.
+	reporting, reportsDraining bool
 }
 
 func newSoak(t *testing.T, seed int64) *soak {
 	s := &soak{
 		platformSite: newBarePlatformSite(t), seed: seed, rand: rand.New(rand.NewPCG(uint64(seed), 0)), keys: map[string]bool{},
-		written: map[storeKey][]byte{}, published: map[int]time.Time{},
+		written: map[storeKey][]byte{}, publishedAt: map[int]time.Time{},
 	}
 	s.planned = s.rand.IntN(3) == 0
 	s.publish()
@@ -161,8 +161,8 @@
 		s.servers = append(s.servers, server)
 		s.startServer(server)
 	}
-	if s.tellsStarts() {
-		s.trap = startProcess(t, "trap", "standin", "routed", "--instance", "trap", "--tell")
+	if s.reportsGeneration() {
+		s.decoy = startProcess(t, "trap", "standin", "routed", "--instance", "trap", "--tell")
 	}
 	for i := range 3 {
 		f := &soakFront{name: fmt.Sprint("front-", i), store: newProxy(t, s.store.address("standin"))}
@@ -175,8 +175,8 @@
 	return s
 }
 
-// publish puts the next version of the document on the store: it takes the last but
-// one turning key away and adds a new one.
+// publish writes the next version of the document to the store: each version has a new key
+// "turn-N" and keeps that of the version before.
 func (s *soak) publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,49 +184,50 @@
 	keys := fmt.Sprintf(`"yard-key", "turn-%d", "turn-%d"`, s.version, s.version-1)
 	s.keys[fmt.Sprint("turn-", s.version)] = true
 	s.keys[fmt.Sprint("turn-", s.version-1)] = true
-	s.published[s.version] = time.Now()
+	s.publishedAt[s.version] = time.Now()
 	s.put("keyed.op", "config", []byte(strings.ReplaceAll(fmt.Sprintf(platformDocument, s.version), `"yard-key"`, keys)))
 }
 
-// put writes a record as the platform does; a store that is paused wakes for it.
+// put writes a record as the platform does; it resumes a paused store for that.
 func (s *soak) put(topic, key string, value []byte) {
 	s.store.signal(syscall.SIGCONT)
 	s.written[storeKey{topic, key}] = value
 	s.platformSite.put(topic, key, value)
 }
 
-// startServer begins a new life of a backend server at its address.
+// startServer starts a new backend server, under a new id, at the address.
 func (s *soak) startServer(server *soakServer) {
-	s.startLife(server, fmt.Sprintf("%s-%s-%d", server.service, server.proxy.address(), len(server.lives)))
+	s.startIncarnation(server, fmt.Sprintf("%s-%s-%d", server.service, server.proxy.address(), len(server.incarnations)))
 }
 
-// startLife begins a new life of a backend server under an id.
-func (s *soak) startLife(server *soakServer, id string) {
+// startIncarnation starts a new incarnation of a backend server under an id.
+func (s *soak) startIncarnation(server *soakServer, id string) {
 	p := startProcess(s.t, id, "standin", "routed", "--instance", id, "--delay", "5ms", "--tell")
-	server.proxy.aim(p.address("standin"))
-	life := &soakLife{process: p, id: id, ranThen: -1}
-	if s.tellsStarts() {
-		life.born = int64(len(server.lives) + 1)
+	server.proxy.setTarget(p.address("standin"))
+	inc := &soakIncarnation{process: p, id: id, ranAtDrain: -1}
+	if s.reportsGeneration() {
+		inc.generation = int64(len(server.incarnations) + 1)
 	}
-	server.lives = append(server.lives, life)
-	s.list(server, "ready")
+	server.incarnations = append(server.incarnations, inc)
+	s.putRecord(server, "ready")
 }
 
-// list puts the record of a server's newest life on the store; an empty state drops it.
-func (s *soak) list(server *soakServer, state string) {
+// putRecord writes the record of a server's newest incarnation to the store; an empty state
+// deletes it.
+func (s *soak) putRecord(server *soakServer, state string) {
 	var record []byte
 	if state != "" {
 		record = s.record(server, state)
 	}
-	s.put("keyed.servers", server.life().id, record)
+	s.put("keyed.servers", server.current().id, record)
 }
 
-// record is what a server's newest life tells of itself.
+// record returns the record of a server's newest incarnation.
 func (s *soak) record(server *soakServer, state string) []byte {
-	return serverRecord(server.service, server.proxy.address(), state, server.life().born)
+	return serverRecord(server.service, server.proxy.address(), state, server.current().generation)
 }
 
-// startFront begins a new life of a front.
+// startFront starts a front, or restarts it.
 func (s *soak) startFront(f *soakFront) {
 	text := strings.Replace(s.frontSettings(f.name), s.store.address("standin"), f.store.address(), 1)
 	p := startProcess(s.t, f.name, "runworks", "front", "--settings", s.settingsFile(f.name, text))
@@ -240,23 +241,22 @@
 	s.began = time.Now()
 	s.clients.start(s)
 	s.run(s.schedule())
-	s.mend()
+	s.clearFaults()
 	calm := time.Now()
-	s.wait(soakSettles)
+	s.wait(soakSettleTime)
 	after := time.Now()
 	s.wait(2 * time.Second)
 	s.clients.stop()
 	s.check(calm, after)
 }
 
-// wait lets the system run.
 func (s *soak) wait(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	<-timer.C
 }
 
-// run does the steps of a schedule at their times.
+// run runs the steps of a schedule at their times.
 func (s *soak) run(steps []soakStep) {
 	for _, one := range steps {
 		s.wait(time.Until(s.began.Add(one.at)))
@@ -265,34 +265,34 @@
 	}
 }
 
-// mend ends all faults and brings back what is gone.
-func (s *soak) mend() {
+// clearFaults ends all faults and restarts what has exited.
+func (s *soak) clearFaults() {
 	s.store.signal(syscall.SIGCONT)
 	s.setFaults(s.store, standin.StoreFaults{})
 	for _, f := range s.fronts {
-		f.store.set(proxyPasses)
-		s.revive(f)
+		f.store.set(proxyForwards)
+		s.recoverFront(f)
 	}
 	for _, server := range s.servers {
-		server.proxy.set(proxyPasses)
-		life := server.life()
-		life.signalIfAlive(syscall.SIGCONT)
-		if life.ended() || !life.left.IsZero() || life.leaves {
+		server.proxy.set(proxyForwards)
+		inc := server.current()
+		inc.signalIfAlive(syscall.SIGCONT)
+		if inc.ended() || !inc.drainingSince.IsZero() || inc.reportsDraining {
 			s.startServer(server)
 		}
 	}
 }
 
-// revive brings a front back: it wakes it, waits for the end of its planned stop, and
-// starts it again if it is gone.
-func (s *soak) revive(f *soakFront) {
+// recoverFront resumes a front, waits for the end of its planned stop, and restarts it if it
+// exited.
+func (s *soak) recoverFront(f *soakFront) {
 	p := f.process.Load()
 	p.signalIfAlive(syscall.SIGCONT)
 	if f.stopping {
 		select {
 		case <-p.done:
 		case <-time.After(soakGrace + 2*time.Second):
-			s.ends = append(s.ends, f.name+" did not end within its grace")
+			s.unexpected = append(s.unexpected, f.name+" did not exit within its grace period")
 			p.signalIfAlive(syscall.SIGKILL)
 			<-p.done
 		}
@@ -300,18 +300,18 @@
 	s.restart(f)
 }
 
-// restart begins a new life of a front that is gone, and notes it if nobody ended it.
+// restart restarts a front that exited, and records an exit that was not requested.
 func (s *soak) restart(f *soakFront) {
 	if !f.process.Load().ended() {
 		return
 	}
 	if !f.stopping {
-		s.ends = append(s.ends, f.name+" ended by itself")
+		s.unexpected = append(s.unexpected, f.name+" exited unexpectedly")
 	}
 	s.startFront(f)
 }
 
-// ended says whether a process is over.
+// ended reports whether a process has exited.
 func (p *process) ended() bool {
 	select {
 	case <-p.done:
@@ -321,7 +321,7 @@
 	}
 }
 
-// signalIfAlive sends a signal; a process that is over by now needs none.
+// signalIfAlive sends a signal unless the process has exited.
 func (p *process) signalIfAlive(sig syscall.Signal) {
 	if !p.ended() {
 		_ = p.cmd.Process.Signal(sig)
