--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The only doors that CI uses.
+# CI uses these targets only.
 GO ?= go
 BIN := bin
 LINT := $(BIN)/golangci-lint
@@ -23,7 +23,7 @@
 test:
 	$(GO) test ./...
 
-# The tests named in KNOWN-RED.txt, a line each, fail for faults that are not mended
+# The tests named in KNOWN-RED.txt, a line each, fail for faults that are not fixed
 # yet; race passes over just these.
 KNOWN_RED := $(shell test -s KNOWN-RED.txt && sed 's/:.*//' KNOWN-RED.txt | paste -sd '|')
 
@@ -49,12 +49,12 @@
 dev:
 	$(GO) run ./cmd/runworks dev
 
-# Writes the answers of the scripted tests anew; read the difference.
+# Rewrites the recorded responses of the scripted tests; read the difference.
 .PHONY: rewrite
 rewrite:
 	$(GO) test ./tests/ -run 'WrongInput' -args -rewrite
 
-# Takes each mechanism out, one at a time, and sees the test that proves it fail.
+# Removes each mechanism, one at a time, and checks that the test that proves it fails.
 .PHONY: mutants
 mutants:
 	$(GO) test ./tests/ -run TestMutants -v -timeout 60m -args -mutants
