--- a/standin/memnet/memnet.go
+++ b/standin/memnet/memnet.go
@@ -180,23 +180,23 @@
 	local, localInner := net.Pipe()
 	remote, remoteInner := net.Pipe()
 	ctx, stop := context.WithCancelCause(context.Background())
-	w := &link{net: n, hosts: hostPair(from, to), inner: [2]net.Conn{localInner, remoteInner}, ctx: ctx, cancel: stop}
+	l := &link{net: n, hosts: hostPair(from, to), inner: [2]net.Conn{localInner, remoteInner}, ctx: ctx, cancel: stop}
 	n.mu.Lock()
-	n.links[w] = struct{}{}
+	n.links[l] = struct{}{}
 	n.mu.Unlock()
-	w.forward(localInner, remoteInner)
-	w.forward(remoteInner, localInner)
+	l.forward(localInner, remoteInner)
+	l.forward(remoteInner, localInner)
 	return &conn{Conn: local, local: addr(from + ":0"), remote: addr(to + ":0")},
 		&conn{Conn: remote, local: addr(to + ":0"), remote: addr(from + ":0")}
 }
 
-func (w *link) close() {
-	w.cancel(errReset)
-	_ = w.inner[0].Close()
-	_ = w.inner[1].Close()
-	w.net.mu.Lock()
-	delete(w.net.links, w)
-	w.net.mu.Unlock()
+func (l *link) close() {
+	l.cancel(errReset)
+	_ = l.inner[0].Close()
+	_ = l.inner[1].Close()
+	l.net.mu.Lock()
+	delete(l.net.links, l)
+	l.net.mu.Unlock()
 }
 
 type packet struct {
@@ -207,15 +207,15 @@
 
 // forward copies data from one end to the other, after the latency and any partition.
 // The close of one end is delivered in order with its data.
-func (w *link) forward(from, to net.Conn) {
+func (l *link) forward(from, to net.Conn) {
 	queue := make(chan packet, maxQueued)
 	go func() {
 		for {
 			p := make([]byte, packetBytes)
 			k, err := from.Read(p)
 			select {
-			case queue <- packet{data: p[:k], due: time.Now().Add(w.net.latency), err: err}:
-			case <-w.ctx.Done():
+			case queue <- packet{data: p[:k], due: time.Now().Add(l.net.latency), err: err}:
+			case <-l.ctx.Done():
 				return
 			}
 			if err != nil {
@@ -224,13 +224,13 @@
 		}
 	}()
 	go func() {
-		defer w.close()
+		defer l.close()
 		for {
 			select {
-			case <-w.ctx.Done():
+			case <-l.ctx.Done():
 				return
 			case p := <-queue:
-				if !w.deliver(to, p) {
+				if !l.deliver(to, p) {
 					return
 				}
 			}
@@ -239,13 +239,13 @@
 }
 
 // deliver writes a packet when it is due. It reports false if the connection is to be closed.
-func (w *link) deliver(to net.Conn, p packet) bool {
+func (l *link) deliver(to net.Conn, p packet) bool {
 	// Do not sleep for zero time: under -race, two goroutines of one synctest bubble
 	// whose timers are due at once crash the race detector (Go 1.26).
 	if d := time.Until(p.due); d > 0 {
 		time.Sleep(d)
 	}
-	if err := w.net.WaitReachable(w.ctx, w.hosts[0], w.hosts[1]); err != nil {
+	if err := l.net.WaitReachable(l.ctx, l.hosts[0], l.hosts[1]); err != nil {
 		return false
 	}
 	if len(p.data) > 0 {
