--- a/tests/platform_server_reports_test.go
+++ b/tests/platform_server_reports_test.go
@@ -118,10 +118,10 @@
 }
 
 // setBackoff has servers reject calls from now on and ask for back-off, or neither if it is 0.
-func (p *reportSite) setBackoff(servers []string, lasts time.Duration) string {
+func (p *reportSite) setBackoff(servers []string, d time.Duration) string {
 	p.t.Helper()
 	for _, name := range servers {
-		p.setFaults(p.backends[name], standin.RoutedFaults{Backoff: lasts.Seconds()})
+		p.setFaults(p.backends[name], standin.RoutedFaults{Backoff: d.Seconds()})
 	}
 	return "said\n"
 }
@@ -164,16 +164,16 @@
 
 // retryAfterBackoff has all servers of a service ask for back-off, once each, until a caller is
 // refused; the caller has to be served when it retries after the Retry-After.
-func (p *reportSite) retryAfterBackoff(front string, servers []string, target string, lasts time.Duration) string {
+func (p *reportSite) retryAfterBackoff(front string, servers []string, target string, d time.Duration) string {
 	p.t.Helper()
-	p.setBackoff(servers, lasts)
+	p.setBackoff(servers, d)
 	var r callResult
 	p.waitFor("a caller is refused as all servers ask for back-off", func() bool {
 		r = p.call(front, target)
-		return r.status == http.StatusServiceUnavailable && r.retryAfter > lasts/2
+		return r.status == http.StatusServiceUnavailable && r.retryAfter > d/2
 	})
 	p.setBackoff(servers, 0)
 	pause.For(p.t.Context(), r.retryAfter)
 	again := p.call(front, target)
-	return fmt.Sprintf("in-time=%t served=%t\n", r.retryAfter < lasts+retryAfterSlack, again.status == http.StatusOK)
+	return fmt.Sprintf("in-time=%t served=%t\n", r.retryAfter < d+retryAfterSlack, again.status == http.StatusOK)
 }
--- a/tests/platform_test.go
+++ b/tests/platform_test.go
@@ -288,7 +288,7 @@
 	_, err = res.Body.Read(buffer)
 	is.NoErr(err)
 	is.NoErr(res.Body.Close())
-	left := time.Now()
+	closed := time.Now()
 	p.waitFor("the server's work ends", func() bool {
 		var status struct {
 			Servers []struct {
@@ -297,7 +297,7 @@
 		}
 		return getJSON("http://"+p.fronts["front-1"].address("operators")+"/status", &status) && len(status.Servers) == 1 && status.Servers[0].Own == 0
 	})
-	is.True(time.Since(left) < 5*time.Second)
+	is.True(time.Since(closed) < 5*time.Second)
 }
 
 // TestPlatformStopRefusesLateStreams stops a front with the default settings: it accepts streams
--- a/tests/soak_check_test.go
+++ b/tests/soak_check_test.go
@@ -230,7 +230,7 @@
 			}
 		}
 		if c.sent.After(calm.Add(soakApplyDelay)) && c.err == nil && (c.status == http.StatusUnauthorized) == allowed {
-			s.t.Errorf("%s with key %q got %d in calm time; document %d", c.id, c.key, c.status, s.version)
+			s.t.Errorf("%s with key %q got %d after all faults were over; document %d", c.id, c.key, c.status, s.version)
 		}
 	}
 	if asked == 0 || float64(served) < soakServedRatio*float64(asked) {
@@ -402,11 +402,11 @@
 			c.key = "never-a-key"
 			return []string{ran(c)}
 		}, true},
-		{"told not run", func(c *soakCall) []string {
+		{"ran with a status of calls not run", func(c *soakCall) []string {
 			c.status, c.retryAfter = http.StatusServiceUnavailable, true
 			return []string{ran(c)}
 		}, true},
-		{"no time to come back", func(c *soakCall) []string {
+		{"no Retry-After", func(c *soakCall) []string {
 			c.status = http.StatusServiceUnavailable
 			return nil
 		}, true},
@@ -414,7 +414,7 @@
 			c.status = http.StatusUnauthorized
 			return nil
 		}, true},
-		{"half an answer that looks whole", func(c *soakCall) []string {
+		{"half a response that looks complete", func(c *soakCall) []string {
 			c.data = c.data[:len(c.data)/2]
 			return []string{ran(c)}
 		}, true},
--- a/tests/soak_faults_test.go
+++ b/tests/soak_faults_test.go
@@ -38,13 +38,13 @@
 	for range 6 + s.rand.IntN(10) {
 		fault := kinds[s.rand.IntN(len(kinds))]()
 		at := time.Duration(s.rand.Int64N(int64(*soakTime)))
-		lasts := 100*time.Millisecond + time.Duration(s.rand.Int64N(int64(2500*time.Millisecond)))
+		duration := 100*time.Millisecond + time.Duration(s.rand.Int64N(int64(2500*time.Millisecond)))
 		if fault.duration > 0 {
-			lasts = fault.duration
+			duration = fault.duration
 		}
 		steps = append(steps, soakStep{at: at, name: fault.name, do: fault.begin})
 		if fault.end != nil {
-			steps = append(steps, soakStep{at: at + lasts, name: fault.name + " is over", do: fault.end})
+			steps = append(steps, soakStep{at: at + duration, name: fault.name + " is over", do: fault.end})
 		}
 	}
 	if s.reportsGeneration() {
@@ -91,17 +91,17 @@
 // faults are cleared.
 func (s *soak) drainServer() soakFault {
 	server := s.anyServer()
-	return soakFault{name: "a server of " + server.service + " leaves", duration: soakDrainBound + 100*time.Millisecond, begin: func() {
-		life := server.current()
-		if life.ended() || !life.drainingSince.IsZero() || life.reporting || s.hasDraining(server.service) {
+	return soakFault{name: "a server of " + server.service + " drains", duration: soakDrainBound + 100*time.Millisecond, begin: func() {
+		inc := server.current()
+		if inc.ended() || !inc.drainingSince.IsZero() || inc.reporting || s.hasDraining(server.service) {
 			return
 		}
 		s.putRecord(server, "draining")
-		life.drainingSince = time.Now()
+		inc.drainingSince = time.Now()
 	}, end: func() {
-		life := server.current()
-		if life.ranAtDrain < 0 && !life.drainingSince.IsZero() && time.Since(life.drainingSince) > soakDrainBound {
-			life.ranAtDrain = len(ranLines(life.outputText()))
+		inc := server.current()
+		if inc.ranAtDrain < 0 && !inc.drainingSince.IsZero() && time.Since(inc.drainingSince) > soakDrainBound {
+			inc.ranAtDrain = len(ranLines(inc.outputText()))
 		}
 	}}
 }
@@ -159,8 +159,8 @@
 	return soakFault{name: fmt.Sprintf("kill of a server of %s, record stays %t", server.service, stale), begin: func() {
 		server.current().signalIfAlive(syscall.SIGKILL)
 	}, end: func() {
-		life := server.current()
-		if !life.ended() {
+		inc := server.current()
+		if !inc.ended() {
 			return
 		}
 		if !stale {
@@ -186,9 +186,9 @@
 	all := []standin.RoutedFaults{{Reject: n}, {Unsolicited: n}, {Reset: n}, {Unframed: n}, {Fail: n}, {BreakAt: 2 + s.rand.IntN(6), Breaks: n}}
 	faults := all[s.rand.IntN(len(all))]
 	return soakFault{name: fmt.Sprintf("a server of %s: %+v", server.service, faults), begin: func() {
-		life := server.current()
-		if !life.ended() {
-			trySetFaults(life.process, faults)
+		inc := server.current()
+		if !inc.ended() {
+			trySetFaults(inc.process, faults)
 		}
 	}}
 }
--- a/tests/soak_record_test.go
+++ b/tests/soak_record_test.go
@@ -72,7 +72,7 @@
 		trap := strings.ReplaceAll(string(s.record(server, "ready")), server.proxy.address(), s.decoy.address("standin"))
 		s.put("keyed.servers", key, []byte(strings.Replace(trap, change.from, change.to, 1)))
 	}, end: func() {
-		if life := server.current(); instead && !life.ended() && life.drainingSince.IsZero() {
+		if inc := server.current(); instead && !inc.ended() && inc.drainingSince.IsZero() {
 			s.putRecord(server, "ready")
 		}
 	}}
--- a/tests/soak_report_test.go
+++ b/tests/soak_report_test.go
@@ -25,12 +25,12 @@
 			continue
 		}
 		rest := []float64{0.7, 1, 2}[s.rand.IntN(3)]
-		lasts := time.Second + time.Duration(s.rand.Int64N(int64(2*time.Second)))
+		duration := time.Second + time.Duration(s.rand.Int64N(int64(2*time.Second)))
 		name := fmt.Sprintf("a server of %s asks for %g s of back-off", server.service, rest)
 		var inc *soakIncarnation
 		steps = append(steps,
 			soakStep{at: at, name: name, do: func() { inc = s.startReport(server, standin.RoutedFaults{Backoff: rest}) }},
-			soakStep{at: at + lasts, name: name + " no more", do: func() { s.stopReport(inc) }})
+			soakStep{at: at + duration, name: name + " no more", do: func() { s.stopReport(inc) }})
 	}
 	return steps
 }
@@ -58,8 +58,8 @@
 	if s.hasDraining(server.service) {
 		return
 	}
-	if life := s.startReport(server, standin.RoutedFaults{Draining: true}); life != nil {
-		life.reportsDraining = true
+	if inc := s.startReport(server, standin.RoutedFaults{Draining: true}); inc != nil {
+		inc.reportsDraining = true
 	}
 }
 
--- a/tests/soak_restore_test.go
+++ b/tests/soak_restore_test.go
@@ -93,7 +93,7 @@
 	if !s.restoresStore() || !s.planned {
 		return
 	}
-	looked := 0
+	checked := 0
 	for _, c := range s.clients.calls {
 		turn, ok := strings.CutPrefix(c.key, "turn-")
 		if !ok || c.err != nil || c.status != http.StatusOK && c.status != http.StatusUnauthorized {
@@ -112,7 +112,7 @@
 				newest = max(newest, version)
 			}
 		}
-		looked++
+		checked++
 		accepts := func(version int) bool { return key == version || key == version-1 }
 		may := map[bool]bool{}
 		for version := oldest; version <= newest; version++ {
@@ -123,7 +123,7 @@
 				c.id, c.front, c.key, c.status, c.sent.Sub(s.began).Seconds(), oldest, newest)
 		}
 	}
-	s.t.Logf("%d restores of the store, %d calls with changing keys", len(s.restores), looked)
+	s.t.Logf("%d restores of the store, %d calls with changing keys", len(s.restores), checked)
 }
 
 // checkVersionOrder checks that no front process went back to an older version.
--- a/tests/soak_test.go
+++ b/tests/soak_test.go
@@ -95,13 +95,14 @@
 	decoy *process
 
 	mu sync.Mutex
-	// version is the newest document's, and keys are those that any document contained.
+	// version is the number of the newest document, and keys are those that any document
+	// contained.
 	version int
 	keys    map[string]bool
 	// unexpected describes processes that exited unexpectedly or not in time.
 	unexpected []string
 	// storeFaults is the number of active faults of the store, lastStoreFault when the last one
-	// ended, and usageLost is set if no front or record may know the customers' consumption.
+	// ended, and usageLost is set if the customers' consumption may be lost.
 	storeFaults    int
 	lastStoreFault time.Time
 	usageLost      bool
